--- a/eiderhub/balancer.py
+++ b/corkdoor/balancer.py
@@ -1,4 +1,4 @@
-"""All decisions of eiderhub. Its types, events and actions stand in eiderhub/interface.py: read that first.
+"""All decisions of corkdoor. Its types, events and actions stand in corkdoor/interface.py: read that first.
 
 The ordinary path of a request, after "How Airbnb Built Adaptive Traffic Management for a Multi-tenant
 Key-value Store": it is priced in request units (RU) against its tenant's token bucket, while the latency
@@ -14,17 +14,20 @@
 from collections import Counter, deque
 from collections.abc import Sequence
 
-from eiderhub.interface import Actions, Discovery, Effect, Endpoint, ListForm, LoadReport, Outcome, Settings
-from eiderhub.policy.buckets import BASE_COST_RU, REFILL_WINDOW_US, TokenBuckets
-from eiderhub.policy.calls import Call, HoldQueue, TryTime
-from eiderhub.policy.concurrency import START_CALLS
-from eiderhub.policy.discovery_calls import ASK, DiscoveryCalls
-from eiderhub.policy.endpoints import DepartedEndpoints, EndpointState
-from eiderhub.policy.idle_connections import IDLE_STEPS, IdleConnections
-from eiderhub.policy.latency import LatencyRatio, ServiceTimes
-from eiderhub.policy.pools import Placement, Pool, subset_size
-from eiderhub.policy.retries import RetryBudget
-from eiderhub.policy.rules import NEVER_RAN, UNANSWERED, may_refuse, may_resend
+from corkdoor.interface import Actions
+from corkdoor.load_report import LoadReport
+from corkdoor.model import DiscoveryMode, Endpoint, Idempotency, Outcome, Timer, WatchEventKind
+from corkdoor.policy.buckets import BASE_COST_RU, REFILL_WINDOW_US, TokenBuckets
+from corkdoor.policy.concurrency import START_CALLS
+from corkdoor.policy.discovery_polling import DiscoveryPolling
+from corkdoor.policy.endpoints import DepartedEndpoints, EndpointState
+from corkdoor.policy.idle_connections import IDLE_STEPS, IdleConnections
+from corkdoor.policy.latency import LatencyRatio, ServiceTimes
+from corkdoor.policy.pools import Placement, Pool, subset_size
+from corkdoor.policy.request_queue import HoldQueue, Request, TryTime
+from corkdoor.policy.retries import RetryBudget
+from corkdoor.policy.retry_safety import NEVER_RAN, UNANSWERED, may_reject, may_resend
+from corkdoor.settings import Settings
 
 # --- request units and buckets ---
 HINT_RU_PER_US = 1e-5  # RU for each hinted microsecond: a hint of 100 ms doubles the base cost
@@ -82,8 +85,7 @@
 MAX_TRIES_INSIDE = 2  # from inner ones: layers that retry each other multiply
 RETRY_AFTER_SHARE = 0.5  # a refused client is told to wait this share of what it obeys, or up to twice it
 SPILL_GAIN = 0.5  # how much of a call's worth is taken to be saved by sending it to another zone
-FAILURES = frozenset((ListForm.FAILED, ListForm.REFUSED, ListForm.LOST))
-SWEEP = "sweep"
+FAILURES = frozenset((WatchEventKind.FAILED, WatchEventKind.REJECTED, WatchEventKind.LOST))
 NEVER = -(1 << 62)  # before any time that a clock tells
 
 
@@ -93,7 +95,7 @@
     def __init__(self, settings: Settings, seed: int, actions: Actions) -> None:
         self.actions = actions
         self.random = random.Random(seed)
-        self.calls: dict[str, Call] = {}
+        self.requests: dict[str, Request] = {}
         self.tries: dict[str, TryTime] = {}
         self.placement: dict[str, Placement] = {}
         self.started = False
@@ -101,12 +103,12 @@
 
     def _configure(self, settings: Settings) -> None:
         """Work out what follows from settings, the first and any later ones: what remains is carried over."""
-        known = {(p.zones, p.kinds): p for p in self.placements}
+        known = {(p.zones, p.machine_types): p for p in self.placements}
         self.settings = settings
         self.classes = {c.name: c for c in settings.classes}
-        best = max(c.credit for c in settings.classes) or 1.0
+        best = max(c.priority_weight for c in settings.classes) or 1.0
         worths = {
-            (c.name, over): c.credit / best * (settings.over_share_worth if over else 1.0)
+            (c.name, over): c.priority_weight / best * (settings.over_quota_weight if over else 1.0)
             for c in settings.classes
             for over in (False, True)
         }
@@ -115,24 +117,24 @@
         ranked = sorted({(-worth, over) for (_, over), worth in worths.items()})
         self.level = {(name, over): ranked.index((-worth, over)) for (name, over), worth in worths.items()}
         self.worth = [-minus for minus, _ in ranked]
-        goal = settings.goal
-        even = goal.by_class / (goal.by_class + goal.by_worth or 1.0)
+        objective = settings.objective
+        even = objective.class_weight / (objective.class_weight + objective.request_weight or 1.0)
         # What a served call is worth to the goal, where the cheapest class may count as much as the best.
         self.gain = [
-            (1 - even) * -minus + even * (settings.over_share_worth if over else 1.0)
+            (1 - even) * -minus + even * (settings.over_quota_weight if over else 1.0)
             for minus, over in ranked
         ]
-        self.copying = settings.limits.second_copies and settings.layer == 0
+        self.copying = settings.limits.hedging_allowed and settings.layer == 0
         self.tries = {c.name: self.tries.get(c.name) or TryTime() for c in settings.classes}
         self.placement = {
-            c.name: known.setdefault((c.stays_in, c.served_on), Placement(c, settings.layer))
+            c.name: known.setdefault((c.allowed_zones, c.allowed_machine_types), Placement(c, settings.layer))
             for c in settings.classes
         }
 
     @property
     def placements(self) -> list[Placement]:
         """Those of the classes, and those that only calls from before a change of the settings still have."""
-        return list(dict.fromkeys([*self.placement.values(), *(c.placement for c in self.calls.values())]))
+        return list(dict.fromkeys([*self.placement.values(), *(c.placement for c in self.requests.values())]))
 
     # --- life ---
 
@@ -149,7 +151,7 @@
         self.queue = HoldQueue(len(self.worth))
         self.retries = RetryBudget()
         self.refused: Counter[str] = Counter()  # since the last report, by reason
-        self.idle = IdleConnections(s.limits.conn_idle_us)
+        self.idle = IdleConnections(s.limits.idle_connection_us)
         self.ejected: list[EndpointState] = []
         self.ready = 0
         self.fleet_failing = 0.0
@@ -157,10 +159,10 @@
         self.fleet_latency = 0.0
         self.quiet_us = 1 << 62  # silence that tells of an endpoint with calls out
         self.sweep_at = -1
-        self.copies: deque[tuple[int, Call]] = deque()  # when a second copy of the call falls due
-        self.asking = DiscoveryCalls(s, now_us, self.actions, self.random)
-        if s.discovery is Discovery.ASK:
-            self.actions.tail(True)
+        self.copies: deque[tuple[int, Request]] = deque()  # when a second copy of the call falls due
+        self.discovery = DiscoveryPolling(s, now_us, self.actions, self.random)
+        if s.discovery_mode is DiscoveryMode.POLL:
+            self.actions.watch_discovery(True)
 
     def reconfigure(self, now_us: int, settings: Settings) -> None:
         """Put other settings in force. Calls that are here keep their class and the endpoints it may use."""
@@ -171,32 +173,33 @@
         self._configure(settings)
         if not self.started:
             return
-        changes = [classes[n].aim_us / c.aim_us for n, c in self.classes.items() if n in classes]
+        pairs = [(classes[n], c) for n, c in self.classes.items() if n in classes]
+        changes = [old.latency_objective_us / new.latency_objective_us for old, new in pairs]
         if any(change != 1.0 for change in changes):
             # Danger: with aims halved, what was always normal looks like a jam, and caps fall for that.
             self.ratio, self.services = LatencyRatio(now_us), ServiceTimes(settings.layer, now_us)
             for limit in (pool.limit for placement in self.placements for pool in placement.pools):
                 limit.follow(now_us, max(1.0, *changes))
         self.buckets.configure(settings, now_us)
-        self.asking.configure(settings)
-        self.idle.closed_us = settings.limits.conn_idle_us
-        for call in self.calls.values():
-            call.level = self.level.get((call.grade.name, call.over), len(self.worth) - 1)
+        self.discovery.configure(settings)
+        self.idle.closed_us = settings.limits.idle_connection_us
+        for request in self.requests.values():
+            request.level = self.level.get((request.request_class.name, request.over), len(self.worth) - 1)
         self.queue.rank(len(self.worth))
         if self.endpoints:
             self._fill_pools()
-        if settings.discovery is not old.discovery:  # what counts as told is another thing by now
-            self.asking.ask(now_us)
+        if settings.discovery_mode is not old.discovery_mode:  # what counts as told is another thing by now
+            self.discovery.ask(now_us)
         if self.queue.count:
             self._dispatch(now_us)
 
-    def discovery(self, now_us: int, form: ListForm, entries: Sequence[Endpoint]) -> None:
+    def on_watch_event(self, now_us: int, form: WatchEventKind, entries: Sequence[Endpoint]) -> None:
         if form in FAILURES:
-            self.asking.failed(now_us, form)
+            self.discovery.failed(now_us, form)
             return
-        if form is not ListForm.CACHED:
-            self.asking.told(now_us, bare=not entries)
-        if form is not ListForm.DELTA:
+        if form is not WatchEventKind.CACHED:
+            self.discovery.told(now_us, bare=not entries)
+        if form is not WatchEventKind.DELTA:
             listed = {e.id for e in entries}
             for known in [e for e in self.endpoints.values() if e.id not in listed]:
                 self._unlist(known)
@@ -204,7 +207,7 @@
                 self._forget_unused(known)
         for entry in entries:
             self._take_entry(now_us, entry)
-        if form is not ListForm.CACHED:
+        if form is not WatchEventKind.CACHED:
             self.listed_at = now_us
         self._fill_subsets()
         if self.queue.count:
@@ -249,9 +252,9 @@
         self.impaired.pop(endpoint, None)
         self.departed.add(endpoint)
 
-    def moved(self, now_us: int) -> None:
+    def on_discovery_moved(self, now_us: int) -> None:
         """Discovery is at another address, and has not been asked there."""
-        self.asking.moved(now_us)
+        self.discovery.moved(now_us)
 
     def _fill_pools(self) -> None:
         """Divide all endpoints anew: the constraints of the classes, or the sidecar's zone, are others."""
@@ -269,7 +272,7 @@
         for placement in self.placements:
             # Other zones have their own callers to carry. Danger: copies are not spread as endpoints are, and
             # one that takes its whole part in a zone with less jams that, while the others' sit idle.
-            fair = placement.size / s.balancers
+            fair = placement.size / s.instance_count
             own = min(fair, len(placement.local.listed))
             for pool, part in (
                 (placement.local, own),
@@ -277,7 +280,7 @@
             ):
                 pool.limit.size(part)
                 size = subset_size(pool.limit.cap, part, pool.limit.in_flight)
-                pool.subset.fill(pool.listed, s.rank, s.balancers, size)
+                pool.subset.fill(pool.listed, s.instance_index, s.instance_count, size)
 
     def _share_out(self) -> None:
         """Note what was sent, and leave to a bound class the endpoints that it fills.
@@ -298,46 +301,54 @@
         for p in placements:
             p.sent *= SENT_DECAY
 
-    def wake(self, now_us: int, mark: str) -> None:
-        if mark == ASK:
-            self.asking.woken(now_us)
-        elif mark == SWEEP and now_us >= self.sweep_at >= 0:
+    def on_timer(self, now_us: int, timer: Timer) -> None:
+        if timer is Timer.DISCOVERY_POLL:
+            self.discovery.woken(now_us)
+        elif timer is Timer.QUEUE_SWEEP and now_us >= self.sweep_at >= 0:
             self.sweep_at = -1
             self._sweep(now_us)
 
     # --- requests ---
 
-    def order(
-        self, now_us: int, call: str, grade: str, tenant: str | None, expires_in_us: int, hint_us: int | None
+    def on_request(
+        self,
+        now_us: int,
+        request_id: str,
+        class_name: str,
+        tenant: str | None,
+        timeout_us: int,
+        cost_hint_us: int | None,
     ) -> None:
         if not self.started:
             raise RuntimeError("order before start")
-        if call in self.calls:
-            raise RuntimeError(f"request {call} is here already")
+        if request_id in self.requests:
+            raise RuntimeError(f"request {request_id} is here already")
         buckets = self.buckets
         if now_us >= buckets.next_refill:
             buckets.refill(now_us)
             self._share_out()
         bucket = buckets.find(tenant or "")
-        due = now_us + expires_in_us
-        new = self.calls[call] = Call(call, self.classes[grade], self.placement[grade], now_us, due, bucket)
+        due = now_us + timeout_us
+        request_class, placement = self.classes[class_name], self.placement[class_name]
+        new = self.requests[request_id] = Request(request_id, request_class, placement, now_us, due, bucket)
         bucket.heard = now_us
         stress = self.ratio.stress()
-        worth = self.worth[self.level[grade, False]]
-        price = BASE_COST_RU + HINT_RU_PER_US * (hint_us or 0)
+        worth = self.worth[self.level[class_name, False]]
+        price = BASE_COST_RU + HINT_RU_PER_US * (cost_hint_us or 0)
         new.price = price
         inflated = price * (1 + PENALTY * stress * (1 - worth))
         over = new.over = bucket.tokens < inflated
-        new.level = self.level[grade, over]
-        age = self.tries[grade].age(expires_in_us, new.grade.deadline_us) if not self.settings.layer else 0
-        if expires_in_us <= 0:
+        new.level = self.level[class_name, over]
+        deadline_us = request_class.deadline_us
+        age = 0 if self.settings.layer else self.tries[class_name].age(timeout_us, deadline_us)
+        if timeout_us <= 0:
             self._refuse(new, "expired")
             return
-        if not new.grade.late_share:
+        if not new.request_class.late_answer_value:
             # Guards against repeats that can no longer be worth anything.
             usual = new.placement.local.limit.median * HOPELESS
-            new.due = min(new.due, now_us + new.grade.aim_us - age)
-            if new.due - now_us <= new.grade.aim_us * usual:
+            new.due = min(new.due, now_us + new.objective_us - age)
+            if new.due - now_us <= new.objective_us * usual:
                 self._refuse(new, "hopeless")
                 return
         low = self.worth[new.level] < LOW_WORTH
@@ -361,26 +372,26 @@
             return
         self._hold(now_us, new)
 
-    def _hold(self, now: int, call: Call) -> None:
+    def _hold(self, now: int, request: Request) -> None:
         share = HOLD_SHARE_INSIDE if self.settings.layer else HOLD_SHARE
-        until = min(now + int(share * call.grade.aim_us), call.due - call.margin)
+        until = min(now + int(share * request.objective_us), request.due - request.margin)
         if until <= now:
-            self._refuse(call, "short")
+            self._refuse(request, "short")
             return
-        self.queue.push(call, until)
+        self.queue.push(request, until)
         self._sweep_later(now)
 
     def _sweep_later(self, now: int) -> None:
         if self.sweep_at < 0:
             self.sweep_at = now + SWEEP_US
-            self.actions.timer(SWEEP_US, SWEEP)
+            self.actions.start_timer(SWEEP_US, Timer.QUEUE_SWEEP)
 
     def _sweep(self, now: int) -> None:
         queue = self.queue
         self._dispatch(now)
-        while (call := queue.overdue(now)) is not None:
-            queue.take(call)
-            self._refuse(call, "held")
+        while (request := queue.overdue(now)) is not None:
+            queue.take(request)
+            self._refuse(request, "held")
         queue.watch(now)
         while self.copies and self.copies[0][0] <= now:
             self._copy(now, self.copies.popleft()[1])
@@ -389,16 +400,16 @@
         if queue.count or self.copies:
             self._sweep_later(now)
 
-    def _copy(self, now: int, call: Call) -> None:
+    def _copy(self, now: int, request: Request) -> None:
         """Send a second copy: answers an endpoint that pauses or hangs under a call that is safe to repeat.
 
         Acts only while nothing is scarce: no stress, nobody held, room under the cap, retries left.
         """
-        if not self.copying or call.answered or len(call.attempts) != 1 or not call.outstanding:
+        if not self.copying or request.answered or len(request.attempts) != 1 or not request.outstanding:
             return
         if self.ratio.stress() > 0 or self.queue.count or self.retries.tokens < 1.0:
             return
-        if self._try_send(now, call):
+        if self._try_send(now, request):
             self.retries.spend()
 
     def _dispatch(self, now: int) -> None:
@@ -406,43 +417,43 @@
         queue = self.queue
         queue.watch(now)
         for level in range(len(queue.levels)):
-            while (call := queue.head(level)) is not None:
-                if not self._try_send(now, call):
+            while (request := queue.head(level)) is not None:
+                if not self._try_send(now, request):
                     break
-                queue.take(call)
+                queue.take(request)
 
-    def _refuse(self, call: Call, why: str) -> None:
+    def _refuse(self, request: Request, why: str) -> None:
         """Final answer without a result: `shed` where that is legal."""
         self.refused[why] += 1
-        if may_refuse(
-            call.grade.effect, call.grade.group, call.first_run is not None or bool(call.outstanding)
-        ):
+        may_have_run = request.first_run is not None or bool(request.outstanding)
+        options = request.request_class
+        if may_reject(options.idempotency, options.deduplication_scope, may_have_run):
             wait = 0
             limits = self.settings.limits
-            if limits.retry_after:
+            if limits.retry_after_allowed:
                 # Drawn anew for each: clients told the same wait would come back together.
                 wait = int(limits.max_retry_after_us * RETRY_AFTER_SHARE * (1 + self.random.random()))
-            self.actions.shed(call.id, wait)
+            self.actions.reject_request(request.id, wait)
         else:
-            self.actions.surrender(call.id)
-        self._answered(call)
+            self.actions.fail_request(request.id)
+        self._answered(request)
 
-    def _answered(self, call: Call) -> None:
-        call.answered = True
-        if not call.outstanding:
-            del self.calls[call.id]
+    def _answered(self, request: Request) -> None:
+        request.answered = True
+        if not request.outstanding:
+            del self.requests[request.id]
 
-    def _call_off(self, call: Call) -> None:
+    def _call_off(self, request: Request) -> None:
         """Cancel what nobody waits for any more: some endpoints stop such work."""
-        if self.settings.limits.may_cancel:
-            for attempt in sorted(call.outstanding):
-                self.actions.cancel(call.id, attempt)
+        if self.settings.limits.cancellation_allowed:
+            for attempt in sorted(request.outstanding):
+                self.actions.cancel_attempt(request.id, attempt)
 
-    def _try_send(self, now: int, call: Call) -> bool:
-        worth = self.worth[call.level]
+    def _try_send(self, now: int, request: Request) -> bool:
+        worth = self.worth[request.level]
         barren = True  # whether this zone has no endpoint that could take the call, however long it waits
         share = 1.0 if worth >= LOW_WORTH else LOW_TIER_SHARE
-        for pool in call.placement.pools:
+        for pool in request.placement.pools:
             if not pool.subset.members:
                 continue
             limit = pool.limit
@@ -450,30 +461,30 @@
             if limit.full(now, share * limit.room(self.scarcity), self.random):
                 barren = False
                 continue
-            if pool is call.placement.remote and not barren and not self._worth_crossing(now, call):
+            if pool is request.placement.remote and not barren and not self._worth_crossing(now, request):
                 return False
-            endpoint = self._pick(now, pool, call)
+            endpoint = self._pick(now, pool, request)
             if endpoint is not None:
-                self._send(now, call, endpoint, pool)
+                self._send(now, request, endpoint, pool)
                 return True
         return False
 
-    def _worth_crossing(self, now: int, call: Call) -> bool:
+    def _worth_crossing(self, now: int, request: Request) -> bool:
         """Spill to another zone what this one cannot carry; the dearer the crossing, the longer it waits."""
-        price = self.settings.prices.cross_zone
-        gain = self.gain[call.level] * SPILL_GAIN
+        price = self.settings.costs.cross_zone
+        gain = self.gain[request.level] * SPILL_GAIN
         if gain <= price:
             return False
-        return now - call.arrived >= price / gain * HOLD_SHARE * call.grade.aim_us
+        return now - request.arrived >= price / gain * HOLD_SHARE * request.objective_us
 
-    def _pick(self, now: int, pool: Pool, call: Call) -> EndpointState | None:
+    def _pick(self, now: int, pool: Pool, request: Request) -> EndpointState | None:
         """The less busy, by own calls in flight, of two random members of the subset."""
         members = pool.subset.members
         n = len(members)
         best: EndpointState | None = None
         best_load = 0.0
-        tried = call.attempts
-        placement = call.placement
+        tried = request.attempts
+        placement = request.placement
         drawn = 0
         for _ in range(2 * REDRAWS):
             e = members[int(self.random.random() * n)]
@@ -485,12 +496,12 @@
                 continue
             if warmth < 1.0 and not self._affords(now, e, pool, warmth):
                 continue
-            if call.first_run is not None and not may_resend(
-                call.grade.effect,
-                call.grade.group,
+            if request.first_run is not None and not may_resend(
+                request.request_class.idempotency,
+                request.request_class.deduplication_scope,
                 # What is sent now leaves once its connection is up, and has to leave within the window.
-                call.grade.dedup_window_us - self.settings.limits.connect_timeout_us,
-                call.first_run,
+                request.request_class.deduplication_window_us - self.settings.limits.connect_timeout_us,
+                request.first_run,
                 now,
                 (e.zone, e.cell),
             ):
@@ -549,11 +560,12 @@
 
     def warmth(self, now: int, e: EndpointState) -> float:
         """The least part of its capacity that the endpoint has, by its stated start."""
-        rules = self.settings.rules
+        rules = self.settings.lifecycle
         age = now - e.launched
-        if not e.launched or age >= rules.cold_us:
+        if not e.launched or age >= rules.slow_start_us:
             return 1.0
-        return rules.cold_from + (1 - rules.cold_from) * max(age, 0) / rules.cold_us
+        initial = rules.slow_start_initial_share
+        return initial + (1 - initial) * max(age, 0) / rules.slow_start_us
 
     def _affords(self, now: int, e: EndpointState, pool: Pool, warmth: float) -> bool:
         """Whether a cold endpoint has credit left: it earns a part of what those of its pool usually got.
@@ -561,34 +573,34 @@
         Danger: where most of a subset is cold there is little else to draw, so that redraws and held calls
         would send it all the same, from every copy; a burst right after the start may break rule 4.
         """
-        fair = START_CALLS / self.settings.balancers  # a second, while no rate is known
+        fair = START_CALLS / self.settings.instance_count  # a second, while no rate is known
         usual = max(pool.rate / len(pool.subset.members), fair)
         if e.credit < 0:
             e.credit = self.random.random()  # all copies hear of the start at once
         else:
-            earned = usual * min(1.0, COLD_USE * self.settings.rules.overload_factor * warmth)
+            earned = usual * min(1.0, COLD_USE * self.settings.lifecycle.overload_factor * warmth)
             e.credit = min(1.0, e.credit + earned * (now - e.credit_at) / 1e6)
         e.credit_at = now
         return e.credit >= 1.0
 
-    def _send(self, now: int, call: Call, e: EndpointState, pool: Pool) -> None:
-        call.outstanding.add(len(call.attempts))
-        if not call.attempts:
+    def _send(self, now: int, request: Request, e: EndpointState, pool: Pool) -> None:
+        request.outstanding.add(len(request.attempts))
+        if not request.attempts:
             self.retries.earn()
-            call.placement.sent += call.price
-            usual = pool.limit.median * call.grade.aim_us
+            request.placement.sent += request.price
+            usual = pool.limit.median * request.objective_us
             # Only the outermost layer copies: copies inside multiply, and only it sees all stress.
-            if usual and self.copying and call.grade.effect is Effect.IDEMPOTENT:
-                self.copies.append((now + int(COPY_RISE * usual), call))
+            if usual and self.copying and request.request_class.idempotency is Idempotency.IDEMPOTENT:
+                self.copies.append((now + int(COPY_RISE * usual), request))
                 self._sweep_later(now)
         step = -1  # unknown: others are out, and which connection comes next is not told
         if not e.in_flight:
             e.quiet_since = now
             step = self.idle.step(now - e.used) if e.used else IDLE_STEPS
             if self.idle.dead(step, self.random.random()):
-                self.actions.disconnect(e.id)
+                self.actions.close_idle_connections(e.id)
                 step = IDLE_STEPS
-        call.attempts.append((e, now, pool, step))
+        request.attempts.append((e, now, pool, step))
         e.used = now
         e.credit -= 1.0 if e.credit >= 1.0 else 0.0
         pool.sent += 1
@@ -596,27 +608,27 @@
         if e.in_flight >= QUIET_CALLS:
             self.impaired[e] = None
         pool.limit.in_flight += 1
-        self.actions.hand_off(call.id, e.id, 0)
+        self.actions.send_attempt(request.id, e.id, 0)
 
     # --- outcomes ---
 
-    def streaming(self, now_us: int, call: str, attempt: int) -> None:
-        found = self.calls.get(call)
+    def on_response_start(self, now_us: int, request_id: str, attempt: int) -> None:
+        found = self.requests.get(request_id)
         if found is not None:
             found.answered = True
 
-    def reply(
+    def on_attempt_end(
         self,
         now_us: int,
-        call: str,
+        request_id: str,
         attempt: int,
-        endpoint: str,
-        spent_us: int,
-        closed: bool,
+        endpoint_id: str,
+        elapsed_us: int,
+        request_closed: bool,
         outcome: Outcome,
         load: LoadReport | None = None,
     ) -> None:
-        found = self.calls.get(call)
+        found = self.requests.get(request_id)
         if found is None or attempt not in found.outstanding:
             return
         found.outstanding.discard(attempt)
@@ -627,18 +639,18 @@
         pool.limit.in_flight -= 1
         if step >= 0 and outcome not in NEVER_RAN:
             silent = outcome in UNANSWERED
-            long = spent_us > SILENT_RISE * pool.limit.median * found.grade.aim_us > 0
+            long = elapsed_us > SILENT_RISE * pool.limit.median * found.objective_us > 0
             if not silent or long or outcome is Outcome.RESET:
                 self.idle.learn(step, silent)
-        if outcome not in UNANSWERED and outcome is not Outcome.MOOT:
+        if outcome not in UNANSWERED and outcome is not Outcome.NOT_SENT:
             e.quiet_since = now_us
         if load is not None:
             pool.limit.told = True
-            self._note_load(now_us, e, pool.limit.base, load, found.grade.aim_us, spent_us)
-        self._judge(now_us, found, e, pool, sent, spent_us, outcome)
+            self._note_load(now_us, e, pool.limit.base, load, found.objective_us, elapsed_us)
+        self._judge(now_us, found, e, pool, sent, elapsed_us, outcome)
         if outcome not in NEVER_RAN and (found.first_run is None or sent < found.first_run[0]):
             found.first_run = (sent, e.zone, e.cell)
-        if found.answered or closed:
+        if found.answered or request_closed:
             self._answered(found)
             self._call_off(found)
         elif not found.outstanding:
@@ -650,35 +662,35 @@
         self, now: int, e: EndpointState, base: float, load: LoadReport, aim: int, spent: int
     ) -> None:
         """Learn how crowded an endpoint is, by all copies together, from its own report."""
-        share = load.service_us / aim
+        share = load.service_time_us / aim
         self.services.record(now, share)
         usual = self.services.usual
         if not usual:
             return
         if base:  # Guards against a mean that still holds a trouble gone by: this very call was faster.
             share = min(share, max(usual, usual + spent / aim - base))
-        in_service = max(1.0, load.served_per_s * load.service_us / 1e6)
-        crowd = min(CROWD_MOST, share / usual * (1 + load.pending / in_service))
+        in_service = max(1.0, load.requests_per_s * load.service_time_us / 1e6)
+        crowd = min(CROWD_MOST, share / usual * (1 + load.queued_requests / in_service))
         e.crowd += CROWD_WEIGHT * (crowd - e.crowd)
         e.crowd_at = now
         if e.crowd > CROWDED:
             self.impaired[e] = None
 
     def _judge(
-        self, now: int, call: Call, e: EndpointState, pool: Pool, sent: int, spent: int, outcome: Outcome
+        self, now: int, call: Request, e: EndpointState, pool: Pool, sent: int, spent: int, outcome: Outcome
     ) -> None:
         """Learn from an outcome: the endpoint's health, the ratio, the cap and the tenant's bill."""
-        if outcome is Outcome.MOOT or outcome is Outcome.CANCELLED:
+        if outcome is Outcome.NOT_SENT or outcome is Outcome.CANCELLED:
             return
         ok = outcome is Outcome.OK
-        share = spent / call.grade.aim_us
+        share = spent / call.objective_us
         # Danger: one that drains turns calls away at once, seconds before the list tells of it. With little
         # in flight it draws most of the sends, and each would count as crowding and cut the cap.
-        e.declines = e.declines + 1 if outcome is Outcome.FULL else 0
+        e.declines = e.declines + 1 if outcome is Outcome.REJECTED else 0
         leaving = e.declines >= LEAVING_DECLINES
         if leaving and not e.in_flight:
-            self._eject(now, e, "turns calls away")
-        if outcome is not Outcome.FULL:  # a full endpoint is busy, not ill
+            self._eject(now, e, "rejects_attempts")
+        if outcome is not Outcome.REJECTED:  # a full endpoint is busy, not ill
             failed = 0.0 if ok else 1.0
             self.fleet_failing += FLEET_WEIGHT * (failed - self.fleet_failing)
             # Guards against one pause that fails all calls in flight: together they count as one failure.
@@ -692,21 +704,21 @@
                 self.fleet_latency = share
             self.fleet_latency += FLEET_WEIGHT * (share - self.fleet_latency)
             if pool.limit.median:
-                self.quiet_us = int(QUIET_RISE * pool.limit.median * call.grade.aim_us)
+                self.quiet_us = int(QUIET_RISE * pool.limit.median * call.objective_us)
             relative = min(max(share / self.fleet_latency, 1 / SLOW_RANGE), SLOW_RANGE)
             e.slow = e.slow + SLOW_WEIGHT * (relative - e.slow) if e.slow else 0.5 + 0.5 * relative
         outlier = e.slow > OUTLIER and share > self.fleet_latency
         if not outlier:  # Guards against one slow endpoint that gets tiers shed while its peers sit idle.
             if ok or outcome is Outcome.TIMEOUT:
                 self.ratio.record(now, share)
-            if ok or outcome is Outcome.TIMEOUT or (outcome is Outcome.FULL and not leaving):
-                pool.limit.learn(now, sent, FULL_COUNTS if outcome is Outcome.FULL else share)
+            if ok or outcome is Outcome.TIMEOUT or (outcome is Outcome.REJECTED and not leaving):
+                pool.limit.learn(now, sent, FULL_COUNTS if outcome is Outcome.REJECTED else share)
         self.buckets.bill(call.bucket, call.price, call.paid, spent, ok)
 
     def _consider_ejecting(self, now: int, e: EndpointState) -> None:
         # Endpoints that are down for sure raise the share of all: a multiple of that could never be reached.
         if e.failing >= EJECT_FAILING + EJECT_VERSUS_PEERS * self.fleet_failing:
-            self._eject(now, e, "fails")
+            self._eject(now, e, "failing")
 
     def _eject(self, now: int, e: EndpointState, why: str) -> None:
         if now < e.ejected_until:
@@ -722,24 +734,27 @@
         wait = min(EJECT_US * 2 ** (e.ejections - 1), EJECT_MAX_US)
         e.ejected_until = now + int(wait * (0.75 + 0.5 * self.random.random()))
         e.failing = 0.0
-        self.actions.write_log(f"endpoint {e.id} ejected for {(e.ejected_until - now) / 1e6:.1f} s: it {why}")
+        duration_s = (e.ejected_until - now) / 1e6
+        self.actions.log_event("endpoint_ejected", endpoint=e.id, duration_s=duration_s, reason=why)
 
-    def _again(self, now: int, call: Call, outcome: Outcome) -> None:
+    def _again(self, now: int, request: Request, outcome: Outcome) -> None:
         """All attempts ended without an answer: send another where that is legal and wise, or give up."""
         s = self.settings
         tries = min(MAX_TRIES if s.layer == 0 else MAX_TRIES_INSIDE, s.limits.max_attempts)
-        legal = call.first_run is None or call.grade.effect is not Effect.AT_MOST_ONCE
-        legal = legal and len(call.attempts) < tries and now < call.due - call.margin
+        legal = (
+            request.first_run is None or request.request_class.idempotency is not Idempotency.NOT_IDEMPOTENT
+        )
+        legal = legal and len(request.attempts) < tries and now < request.due - request.margin
         # What was turned away unseen made no work: the budget is for retries of what may have.
         if legal and (outcome in NEVER_RAN or self.retries.spend()):
-            for pool in call.placement.pools:
-                if pool.subset.members and (endpoint := self._pick(now, pool, call)) is not None:
-                    self._send(now, call, endpoint, pool)
+            for pool in request.placement.pools:
+                if pool.subset.members and (endpoint := self._pick(now, pool, request)) is not None:
+                    self._send(now, request, endpoint, pool)
                     return
-        self._refuse(call, "attempts")
+        self._refuse(request, "attempts")
 
-    def expired(self, now_us: int, call: str) -> None:
-        found = self.calls.get(call)
+    def on_request_cancelled(self, now_us: int, request_id: str) -> None:
+        found = self.requests.get(request_id)
         if found is None:
             return
         if found.held_until:
--- a/eiderhub/policy/buckets.py
+++ b/corkdoor/policy/buckets.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from eiderhub.interface import Settings
+from corkdoor.settings import Settings
 
 BASE_COST_RU = 1.0  # RU a call costs before anything is known of it
 LATENCY_RU_PER_US = 5e-7  # RU for each microsecond of latency, charged when an attempt ends: 2 s double it
@@ -46,7 +46,7 @@
         known = self.buckets
         self.buckets = {"": known[""]} if "" in known else {}  # "": of calls that name no tenant
         for t in settings.tenants:
-            share, quota = t.share or 1.0, t.quota_per_s / settings.balancers or FLOOR_PER_S
+            share, quota = t.weight or 1.0, t.quota_per_s / settings.instance_count or FLOOR_PER_S
             bucket = self.buckets[t.name] = known.get(t.name) or self.Bucket(share, quota)
             bucket.share, bucket.quota = share, quota
         self._set_rates(now)
--- a/eiderhub/policy/concurrency.py
+++ b/corkdoor/policy/concurrency.py
@@ -5,7 +5,7 @@
 import math
 import random
 
-from eiderhub.policy.latency import NORMAL_SHARE, Histogram
+from corkdoor.policy.latency import NORMAL_SHARE, Histogram
 
 START_CALLS = 7.0  # in-flight calls an endpoint is taken to bear, from all copies together, before we learn
 SURE_STARTS = 2.0  # times that, the cap grows only by what was seen at the cap itself
--- a/eiderhub/policy/discovery_schedule.py
+++ b/corkdoor/policy/discovery_backoff.py
@@ -4,7 +4,8 @@
 
 import random
 
-from eiderhub.interface import Discovery, ListForm, Settings
+from corkdoor.model import DiscoveryMode, WatchEventKind
+from corkdoor.settings import Settings
 
 ASK_FIRST_US = 750_000  # slowest first wait before discovery is asked again, doubled up to
 ASK_LONGEST_US = 3_500_000  # this, from the beginning of one call to that of the next
@@ -52,15 +53,15 @@
 
     def configure(self, settings: Settings) -> None:
         """Take what bounds the waits from settings."""
-        rules = settings.rules
-        self.pushed = settings.discovery is Discovery.PUSH
+        rules = settings.lifecycle
+        self.pushed = settings.discovery_mode is DiscoveryMode.PUSH
         # After a failed call what changes counts as told in four times this: before that it is asked.
-        bound = max(ASK_FIRST_US, 3 * rules.ask_every_us)
+        bound = max(ASK_FIRST_US, 3 * rules.poll_interval_us)
         if self.pushed:  # what it has at its return counts as told at once
             bound = 3 * rules.drain_grace_us // 8
         self.longest = min(ASK_LONGEST_US, bound)
         self.crowded = ASK_CROWDED_US if self.pushed else min(ASK_CROWDED_US, bound)
-        self.rest_us = 0 if self.pushed else min(REST_US, rules.ask_every_us // REST_PART)
+        self.rest_us = 0 if self.pushed else min(REST_US, rules.poll_interval_us // REST_PART)
 
     def told(self, now: int) -> None:
         """An answer has come; the watch goes on at once, but for a rest."""
@@ -83,22 +84,22 @@
         self.retrying = self.moved = True
         return MOVE_SETTLES_US if in_a_row else 0
 
-    def wait(self, now: int, form: ListForm, chance: float, turn_due_us: int) -> int:
+    def wait(self, now: int, form: WatchEventKind, chance: float, turn_due_us: int) -> int:
         """How long to wait after a failure.
 
         `chance` is drawn from 0..1; by `turn_due_us` an answer is wanted.
         """
-        turned_away = form is ListForm.REFUSED and now - self.began < REFUSED_AT_ONCE_US
+        turned_away = form is WatchEventKind.REJECTED and now - self.began < REFUSED_AT_ONCE_US
         self.full |= turned_away
-        if (form is ListForm.LOST or self.at_once) and self.at_once < ASK_AT_ONCE:
+        if (form is WatchEventKind.LOST or self.at_once) and self.at_once < ASK_AT_ONCE:
             self.at_once += 1
-            return int(ASK_REFUSED_US * (1 + 0.4 * chance)) if form is ListForm.REFUSED else 0
+            return int(ASK_REFUSED_US * (1 + 0.4 * chance)) if form is WatchEventKind.REJECTED else 0
         if turned_away:
             self.retrying, self.at_once = True, 0
             self.refusals += 1
             return min(self.crowded - (now - self.began), self._turn_wait(turn_due_us - now, chance))
         part, slowest = 0.5, min(self.slowest, self.longest, ASK_MOVED_US if self.moved else self.longest)
-        if form is ListForm.REFUSED:
+        if form is WatchEventKind.REJECTED:
             # Danger: hundreds that come back soon to a discovery which lets calls wait before it refuses them
             # all wait too long, and it answers nobody, however long it has been back.
             part, slowest = 0.75, min(self.crowded, ASK_CROWDED_US if self.retrying else ASK_LONGEST_US)
--- a/eiderhub/policy/discovery_calls.py
+++ b/corkdoor/policy/discovery_polling.py
@@ -4,14 +4,14 @@
 
 import random
 
-from eiderhub.interface import Actions, ListForm, Settings
-from eiderhub.policy.discovery_schedule import Renewal
-from eiderhub.policy.list_freshness import ListFreshness
+from corkdoor.interface import Actions
+from corkdoor.model import Timer, WatchEventKind
+from corkdoor.policy.discovery_backoff import Renewal
+from corkdoor.policy.list_freshness import ListFreshness
+from corkdoor.settings import Settings
 
-ASK = "ask"  # the mark of the timer for the next call
 
-
-class DiscoveryCalls:
+class DiscoveryPolling:
     """Turns the watch on and off, by what became of the last call."""
 
     def __init__(self, settings: Settings, now: int, actions: Actions, rng: random.Random) -> None:
@@ -30,14 +30,14 @@
         """Begin a call."""
         self.ask_at = -1
         self.renewal.began = now
-        self.actions.tail(True)
+        self.actions.watch_discovery(True)
 
     def woken(self, now: int) -> None:
         """The timer went off; that of an earlier question sets off nothing."""
         if now >= self.ask_at >= 0:
             self.ask(now)
 
-    def failed(self, now: int, form: ListForm) -> None:
+    def failed(self, now: int, form: WatchEventKind) -> None:
         """The call has failed; it may be told more than once."""
         if self.ask_at >= 0:
             return
@@ -58,7 +58,7 @@
         rest = 0 if bare else self.renewal.rest(self.random)
         if rest:
             self.freshness.paused()
-            self.actions.tail(False)
+            self.actions.watch_discovery(False)
             self._ask_later(now, rest)
 
     def moved(self, now: int) -> None:
@@ -72,4 +72,4 @@
 
     def _ask_later(self, now: int, wait: int) -> None:
         self.ask_at = now + wait
-        self.actions.timer(wait, ASK)
+        self.actions.start_timer(wait, Timer.DISCOVERY_POLL)
--- a/eiderhub/policy/endpoints.py
+++ b/corkdoor/policy/endpoints.py
@@ -5,7 +5,7 @@
 import zlib
 from typing import NamedTuple
 
-from eiderhub.interface import Endpoint, Readiness
+from corkdoor.model import Endpoint, Readiness
 
 MAX_DEPARTED = 4096  # endpoints that left the list whose starts are kept: ids may be ever new
 
@@ -37,9 +37,28 @@
     """What this instance knows of one endpoint: its listing, own calls, health and slow start."""
 
     __slots__ = (
-        "cell", "credit", "credit_at", "crowd", "crowd_at", "declines", "ejected_until", "ejections",
-        "failed_at", "failing", "id", "in_flight", "kind", "launched", "order", "quiet_since", "ready",
-        "slow", "stated_launch", "used", "weight", "zone",
+        "cell",
+        "credit",
+        "credit_at",
+        "crowd",
+        "crowd_at",
+        "declines",
+        "ejected_until",
+        "ejections",
+        "failed_at",
+        "failing",
+        "id",
+        "in_flight",
+        "launched",
+        "machine_type",
+        "order",
+        "quiet_since",
+        "ready",
+        "slow",
+        "stated_launch",
+        "used",
+        "weight",
+        "zone",
     )  # fmt: skip
 
     def __init__(self, entry: Endpoint, start: Start | None, earliest: int, now: int) -> None:
@@ -66,11 +85,16 @@
 
         Danger: wall clocks are wrong or set. By stamps that lie behind, a cold endpoint would count as warm.
         """
-        self.zone, self.kind, self.cell, self.weight = entry.zone, entry.kind, entry.cell, entry.weight
+        self.zone, self.machine_type, self.cell, self.weight = (
+            entry.zone,
+            entry.machine_type,
+            entry.cell,
+            entry.weight,
+        )
         self.ready = entry.readiness is Readiness.READY
-        if entry.launched_us != self.stated_launch:  # a new process under a known id: what we knew is void
-            self.stated_launch = entry.launched_us
-            self.launched = min(max(entry.launched_us, earliest), now) if entry.launched_us else 0
+        if entry.started_us != self.stated_launch:  # a new process under a known id: what we knew is void
+            self.stated_launch = entry.started_us
+            self.launched = min(max(entry.started_us, earliest), now) if entry.started_us else 0
             self.credit = -1.0
             self.crowd = 1.0
             self.failing = self.slow = 0.0
--- a/eiderhub/policy/list_freshness.py
+++ b/corkdoor/policy/list_freshness.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from eiderhub.interface import Discovery, ListForm, Settings
+from corkdoor.model import DiscoveryMode, WatchEventKind
+from corkdoor.settings import Settings
 
 TOLD_AFTER_US = 6_000_000  # after discovery had a change and could be reached (the standing test's page)
 MOVED_AFTER_US = 4_000_000  # after a reload that names another discovery
@@ -29,8 +30,8 @@
 
     def configure(self, settings: Settings) -> None:
         """Take the form of discovery and the grace of a drain from settings."""
-        self.pushed = settings.discovery is Discovery.PUSH
-        self.grace_us = settings.rules.drain_grace_us
+        self.pushed = settings.discovery_mode is DiscoveryMode.PUSH
+        self.grace_us = settings.lifecycle.drain_grace_us
 
     def told(self, now: int, bare: bool) -> None:
         """An answer has come: it holds every change up to now.
@@ -48,11 +49,11 @@
         """No watch follows the answer for now."""
         self.watching = False
 
-    def failed(self, now: int, form: ListForm, spent_us: int) -> None:
+    def failed(self, now: int, form: WatchEventKind, spent_us: int) -> None:
         """A call has failed, so long after it began."""
         self.failures += 1
         # One that fell silent may have done so at its beginning, and one that was refused was never accepted.
-        if form is ListForm.FAILED:
+        if form is WatchEventKind.FAILED:
             if self.watching or spent_us > ACCEPTED_US:
                 self.known_until, self.bare = now, False
             else:
--- a/eiderhub/policy/pools.py
+++ b/corkdoor/policy/pools.py
@@ -4,10 +4,10 @@
 
 from bisect import bisect_left, insort
 
-from eiderhub.interface import RequestClass
-from eiderhub.policy.buckets import REFILL_WINDOW_US
-from eiderhub.policy.concurrency import ConcurrencyLimit
-from eiderhub.policy.endpoints import EndpointState, shared_order
+from corkdoor.policy.buckets import REFILL_WINDOW_US
+from corkdoor.policy.concurrency import ConcurrencyLimit
+from corkdoor.policy.endpoints import EndpointState, shared_order
+from corkdoor.settings import RequestClass
 
 SUBSET_MIN = 5  # endpoints a copy keeps in use: few, so that a quiet one has evidence and warm connections
 SUBSET_PER_CALL = 2.0  # endpoints for each call of the cap: a hot copy spreads wider
@@ -34,7 +34,9 @@
         self.members: list[EndpointState] = []
         self.start = 0  # where the block begins in the order
 
-    def fill(self, endpoints: list[EndpointState], rank: int, balancers: int, size: int) -> None:
+    def fill(
+        self, endpoints: list[EndpointState], instance_index: int, instance_count: int, size: int
+    ) -> None:
         """Blocks that start at even distances load all endpoints alike, where free picks would leave gaps.
 
         `endpoints` stand in the order that all copies share.
@@ -43,7 +45,7 @@
         if size >= count:
             self.members, self.start = endpoints, 0
             return
-        self.start = rank % balancers * count // balancers
+        self.start = instance_index % instance_count * count // instance_count
         block = endpoints[self.start : self.start + size]
         self.members = block + endpoints[: size - len(block)]
 
@@ -86,9 +88,9 @@
     Filtering a subset drawn from all could leave none, or the same few to all copies.
     """
 
-    def __init__(self, grade: RequestClass, layer: int) -> None:
-        self.zones = grade.stays_in
-        self.kinds = grade.served_on
+    def __init__(self, request_class: RequestClass, layer: int) -> None:
+        self.zones = request_class.allowed_zones
+        self.machine_types = request_class.allowed_machine_types
         self.local, self.remote = Pool(layer), Pool(layer)
         self.local.limit.peer, self.remote.limit.peer = self.remote.limit, self.local.limit
         self.pools = (self.local, self.remote)
@@ -113,4 +115,6 @@
         return self.local if e.zone == zone else self.remote
 
     def allows(self, e: EndpointState) -> bool:
-        return (self.zones is None or e.zone in self.zones) and (self.kinds is None or e.kind in self.kinds)
+        return (self.zones is None or e.zone in self.zones) and (
+            self.machine_types is None or e.machine_type in self.machine_types
+        )
--- a/eiderhub/policy/calls.py
+++ b/corkdoor/policy/request_queue.py
@@ -5,10 +5,10 @@
 import heapq
 from collections import deque
 
-from eiderhub.interface import RequestClass
-from eiderhub.policy.buckets import TokenBuckets
-from eiderhub.policy.endpoints import EndpointState
-from eiderhub.policy.pools import Placement, Pool
+from corkdoor.policy.buckets import TokenBuckets
+from corkdoor.policy.endpoints import EndpointState
+from corkdoor.policy.pools import Placement, Pool
+from corkdoor.settings import RequestClass
 
 SOJOURN_SHARE = 0.12  # target sojourn as a share of the aim
 SOJOURN_INTERVAL_US = 200_000  # sojourn above target for this long refuses arrivals
@@ -36,19 +36,40 @@
         return max(0, deadline - left)
 
 
-class Call:
+class Request:
     """One request that this instance owes an answer for, or has attempts out for."""
 
     __slots__ = (
-        "answered", "arrived", "attempts", "bucket", "due", "first_run", "grade", "held_until", "id", "level",
-        "margin", "outstanding", "over", "paid", "placement", "price",
+        "answered",
+        "arrived",
+        "attempts",
+        "bucket",
+        "due",
+        "first_run",
+        "held_until",
+        "id",
+        "level",
+        "margin", "objective_us",
+        "outstanding",
+        "over",
+        "paid",
+        "placement",
+        "price",
+        "request_class",
     )  # fmt: skip
 
     def __init__(
-        self, id: str, grade: RequestClass, place: Placement, now: int, due: int, bucket: TokenBuckets.Bucket
+        self,
+        id: str,
+        request_class: RequestClass,
+        place: Placement,
+        now: int,
+        due: int,
+        bucket: TokenBuckets.Bucket,
     ) -> None:
         self.id = id
-        self.grade = grade  # this and the next stay, whatever replaces the settings
+        self.request_class = request_class  # this and the next stay, whatever replaces the settings
+        self.objective_us = request_class.latency_objective_us
         self.placement = place
         self.arrived = now
         self.due = due  # until when an answer is worth something: the end of the try, or the aim before it
@@ -69,8 +90,8 @@
     """Calls past the cap, best worth first; long sojourn there refuses arrivals."""
 
     def __init__(self, levels: int) -> None:
-        self.levels: list[deque[Call]] = [deque() for _ in range(levels)]
-        self.ends: list[tuple[int, int, Call]] = []
+        self.levels: list[deque[Request]] = [deque() for _ in range(levels)]
+        self.ends: list[tuple[int, int, Request]] = []
         self.serial = 0
         self.count = 0
         self.long_since = -1
@@ -82,14 +103,14 @@
         for call in held:
             self.levels[call.level].append(call)
 
-    def push(self, call: Call, until: int) -> None:
+    def push(self, call: Request, until: int) -> None:
         call.held_until = until
         self.levels[call.level].append(call)
         self.serial += 1
         self.count += 1
         heapq.heappush(self.ends, (until, self.serial, call))
 
-    def take(self, call: Call) -> None:
+    def take(self, call: Request) -> None:
         """The call leaves; its places in the queues are cleared when they come up."""
         call.held_until = 0
         self.count -= 1
@@ -97,13 +118,13 @@
             # An empty queue refuses nobody: arrivals refused for its past leave nobody to find it empty.
             self.long_since = -1
 
-    def head(self, level: int) -> Call | None:
+    def head(self, level: int) -> Request | None:
         queue = self.levels[level]
         while queue and not queue[0].held_until:
             queue.popleft()
         return queue[0] if queue else None
 
-    def overdue(self, now: int) -> Call | None:
+    def overdue(self, now: int) -> Request | None:
         ends = self.ends
         while ends and not ends[0][2].held_until:
             heapq.heappop(ends)
@@ -113,7 +134,7 @@
         """Follow how long the sojourn has stood above its target."""
         for level in range(len(self.levels)):
             call = self.head(level)
-            if call is not None and now - call.arrived > SOJOURN_SHARE * call.grade.aim_us:
+            if call is not None and now - call.arrived > SOJOURN_SHARE * call.objective_us:
                 if self.long_since < 0:
                     self.long_since = now
                 return
--- a/eiderhub/policy/watch_waits.py
+++ b/corkdoor/policy/watch_timeout.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from eiderhub.interface import ListForm
+from corkdoor.model import WatchEventKind
 
 FIRST_MS = 4_000
 LONGEST_MS = 30_000
@@ -34,9 +34,9 @@
         """A call was answered."""
         self.wait_ms = max(FIRST_MS, min(2 * self.wait_ms, LONGEST_MS))
 
-    def failed(self, now_us: int, form: ListForm) -> None:
+    def failed(self, now_us: int, form: WatchEventKind) -> None:
         """A call has failed."""
-        if form is ListForm.LOST:
+        if form is WatchEventKind.LOST:
             self.lossy_until_us = now_us + LOSSY_US
         self.interrupted(now_us)
 
--- a/eiderhub/settings.py
+++ b/corkdoor/settings_reader.py
@@ -5,18 +5,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from eiderhub.interface import (
-    Discovery,
-    Effect,
-    Goal,
-    Group,
-    Limits,
-    Prices,
-    RequestClass,
-    Rules,
-    Settings,
-    Tenant,
-)
+from corkdoor.model import DeduplicationScope, DiscoveryMode, Idempotency
+from corkdoor.settings import Costs, LifecycleRules, Limits, Objective, RequestClass, Settings, Tenant
 
 BY_WORTH = ("Whole", "WorstWindow", "WorstTenant", "Availability")  # parts of `Goal` that add up worth
 BY_CLASS = ("WorstClass", "Tail")  # and those that look at each class alone
@@ -63,7 +53,7 @@
         raise ValueError(f"{where}{renamed.get(name, name)}: {why}") from None
 
 
-def settings_from(setup: Any) -> Settings:
+def read_settings(setup: Any) -> Settings:
     """Read the settings of `power_on`; unknown keys are skipped, absent optional ones take defaults."""
     number = (int, float)
     if not isinstance(setup, dict):
@@ -73,43 +63,43 @@
         where = f"Categories[{i}]."
         renamed = {
             "name": "Name",
-            "aim_us": "AimUs",
+            "latency_objective_us": "AimUs",
             "deadline_us": "DeadlineUs",
-            "credit": "Credit",
-            "late_share": "LateShare",
-            "dedup_window_us": "DedupWindowUs",
+            "priority_weight": "Credit",
+            "late_answer_value": "LateShare",
+            "deduplication_window_us": "DedupWindowUs",
         }
-        effect = _choice(Effect, c, "Effect", where)
-        keyed = effect is Effect.DEDUPLICATED
+        idempotency = _choice(Idempotency, c, "Effect", where)
+        keyed = idempotency is Idempotency.WITH_KEY
         classes.append(
             _fields(
                 RequestClass,
                 where,
                 renamed,
                 name=_get(c, "Name", str, where),
-                aim_us=_get(c, "AimUs", int, where),
+                latency_objective_us=_get(c, "AimUs", int, where),
                 deadline_us=_get(c, "DeadlineUs", int, where),
-                effect=effect,
-                group=_choice(Group, c, "Group", where, None if keyed else "all"),
-                dedup_window_us=_get(c, "DedupWindowUs", int, where, None if keyed else 0),
-                credit=float(_get(c, "Credit", number, where, 1.0)),
-                late_share=float(_get(c, "LateShare", number, where, 0.0)),
+                idempotency=idempotency,
+                deduplication_scope=_choice(DeduplicationScope, c, "Group", where, None if keyed else "all"),
+                deduplication_window_us=_get(c, "DedupWindowUs", int, where, None if keyed else 0),
+                priority_weight=float(_get(c, "Credit", number, where, 1.0)),
+                late_answer_value=float(_get(c, "LateShare", number, where, 0.0)),
                 streaming=_get(c, "Streaming", bool, where, False),
-                stays_in=_names(c, "StaysIn", where),
-                served_on=_names(c, "ServedOn", where),
+                allowed_zones=_names(c, "StaysIn", where),
+                allowed_machine_types=_names(c, "ServedOn", where),
             )
         )
     tenants = []
     for i, t in enumerate(_get(setup, "Parties", list, "", [])):
         where = f"Parties[{i}]."
-        renamed = {"name": "Name", "share": "Share", "quota_per_s": "QuotaPerS"}
+        renamed = {"name": "Name", "weight": "Share", "quota_per_s": "QuotaPerS"}
         tenants.append(
             _fields(
                 Tenant,
                 where,
                 renamed,
                 name=_get(t, "Name", str, where),
-                share=float(_get(t, "Share", number, where, 0.0)),
+                weight=float(_get(t, "Share", number, where, 0.0)),
                 quota_per_s=float(_get(t, "QuotaPerS", number, where, 0.0)),
             )
         )
@@ -121,42 +111,42 @@
         {
             "max_attempts": "MaxAttempts",
             "max_retry_after_us": "MaxRetryAfterUs",
-            "conn_idle_us": "ConnIdleUs",
+            "idle_connection_us": "ConnIdleUs",
             "connect_timeout_us": "ConnectTimeoutUs",
         },
         max_attempts=_get(allowed, "MaxAttempts", int, "Allowed.", 3),
         max_retry_after_us=_get(allowed, "MaxRetryAfterUs", int, "Allowed.", 1_000_000),
-        second_copies=_get(allowed, "SecondCopies", bool, "Allowed.", False),
-        may_cancel=_get(allowed, "MayCancel", bool, "Allowed.", False),
-        conn_idle_us=_get(allowed, "ConnIdleUs", int, "Allowed.", 0),
+        hedging_allowed=_get(allowed, "SecondCopies", bool, "Allowed.", False),
+        cancellation_allowed=_get(allowed, "MayCancel", bool, "Allowed.", False),
+        idle_connection_us=_get(allowed, "ConnIdleUs", int, "Allowed.", 0),
         connect_timeout_us=_get(allowed, "ConnectTimeoutUs", int, "Allowed.", 250_000),
-        retry_after=_get(allowed, "RetryAfter", bool, "Allowed.", False),
+        retry_after_allowed=_get(allowed, "RetryAfter", bool, "Allowed.", False),
     )
-    prices = Prices(cross_zone=float(_get(charges, "CrossZone", number, "Charges.", 0.0)))
+    costs = Costs(cross_zone=float(_get(charges, "CrossZone", number, "Charges.", 0.0)))
     rules = _fields(
-        Rules,
+        LifecycleRules,
         "Rules.",
         {
-            "cold_us": "ColdUs",
-            "cold_from": "ColdFrom",
+            "slow_start_us": "ColdUs",
+            "slow_start_initial_share": "ColdFrom",
             "overload_factor": "OverloadFactor",
             "drain_grace_us": "DrainGraceUs",
-            "ask_every_us": "AskEveryUs",
+            "poll_interval_us": "AskEveryUs",
         },
-        cold_us=_get(figures, "ColdUs", int, "Rules.", 10_000_000),
-        cold_from=float(_get(figures, "ColdFrom", number, "Rules.", 0.1)),
+        slow_start_us=_get(figures, "ColdUs", int, "Rules.", 10_000_000),
+        slow_start_initial_share=float(_get(figures, "ColdFrom", number, "Rules.", 0.1)),
         overload_factor=float(_get(figures, "OverloadFactor", number, "Rules.", 2.0)),
         drain_grace_us=_get(figures, "DrainGraceUs", int, "Rules.", 1_500_000),
-        ask_every_us=_get(figures, "AskEveryUs", int, "Rules.", 10_000_000),
+        poll_interval_us=_get(figures, "AskEveryUs", int, "Rules.", 10_000_000),
     )
     parts = _get(setup, "Goal", dict, "", {})
     weight = {key: float(_get(parts, key, number, "Goal.", 0.0)) for key in BY_WORTH + BY_CLASS}
     for key, value in weight.items():
         if value < 0:
             raise ValueError(f"Goal.{key}: must not be negative")
-    goal = Goal(
-        by_worth=sum(weight[key] for key in BY_WORTH) if parts else 1.0,
-        by_class=sum(weight[key] for key in BY_CLASS),
+    objective = Objective(
+        request_weight=sum(weight[key] for key in BY_WORTH) if parts else 1.0,
+        class_weight=sum(weight[key] for key in BY_CLASS),
     )
     layer = _get(setup, "Layer", int, "", 0)
     tiers = _get(setup, "Tiers", list, "", [""] * (layer + 1))  # their names are used for nothing
@@ -166,23 +156,23 @@
         {
             "classes": "Categories",
             "tenants": "Parties",
-            "rank": "Rank",
-            "balancers": "Balancers",
+            "instance_index": "Rank",
+            "instance_count": "Balancers",
             "layer": "Layer",
-            "tiers": "Tiers",
-            "over_share_worth": "OverShareWorth",
+            "layer_count": "Tiers",
+            "over_quota_weight": "OverShareWorth",
         },
         classes=tuple(classes),
-        rank=_get(setup, "Rank", int, "", 0),
-        balancers=_get(setup, "Balancers", int, "", 1),
+        instance_index=_get(setup, "Rank", int, "", 0),
+        instance_count=_get(setup, "Balancers", int, "", 1),
         layer=layer,
-        tiers=len(tiers),
+        layer_count=len(tiers),
         zone=_get(setup, "MyZone", str, "", ""),
         tenants=tuple(tenants),
-        over_share_worth=float(_get(setup, "OverShareWorth", number, "", 1.0)),
-        discovery=_choice(Discovery, setup, "Discovery", "", "push"),
+        over_quota_weight=float(_get(setup, "OverShareWorth", number, "", 1.0)),
+        discovery_mode=_choice(DiscoveryMode, setup, "Discovery", "", "push"),
         limits=limits,
-        prices=prices,
-        goal=goal,
-        rules=rules,
+        costs=costs,
+        objective=objective,
+        lifecycle=rules,
     )
--- a/eiderhub/sidecar/__main__.py
+++ b/corkdoor/sidecar/__main__.py
@@ -14,11 +14,11 @@
 
 import uvloop
 
-from eiderhub.sidecar.clock import now_us
-from eiderhub.sidecar.config import Config, ConfigError, load
-from eiderhub.sidecar.host import Host, request_log
-from eiderhub.sidecar.server import Server
-from eiderhub.sidecar.signals import SignalActions
+from corkdoor.sidecar.clock import now_us
+from corkdoor.sidecar.config import Config, ConfigError, load
+from corkdoor.sidecar.proxy import Proxy, request_log
+from corkdoor.sidecar.server import Server
+from corkdoor.sidecar.signals import SignalActions
 
 ACCEPT_S = 0.6  # all is served for so long after SIGTERM at least: the front sends some for up to 0.4 s
 LONGEST_S = 3.0  # SIGKILL comes this, or the longest deadline if that is shorter, and 0.7 s after SIGTERM
@@ -31,7 +31,7 @@
 REPORT_EVERY_S = 2.0
 LINES_PER_S = 20
 REQUEST_LINES_PER_S = 10  # of them on single requests, so that these leave room for all else
-log = logging.getLogger("eiderhub.sidecar")
+log = logging.getLogger("corkdoor.sidecar")
 
 
 class Sparse(logging.Filter):
@@ -66,11 +66,11 @@
             worst, next_log = 0, now + int(LAG_LOG_S * 1e6)
 
 
-async def report(host: Host, callers: Server) -> None:
+async def report(proxy: Proxy, server: Server) -> None:
     """Log the figures of the last while: a bad stretch is compared with a good one by them."""
     while True:
         await asyncio.sleep(REPORT_EVERY_S)
-        log.info("figures: callers %d of %d, %s", len(callers.callers), callers.most, host.report())
+        log.info("figures: callers %d of %d, %s", len(server.clients), server.most, proxy.report())
 
 
 def age_s() -> float:
@@ -79,13 +79,13 @@
     return time.clock_gettime(time.CLOCK_BOOTTIME) - int(fields[19]) / os.sysconf("SC_CLK_TCK")
 
 
-async def tell_ready(host: Host) -> None:
+async def tell_ready(proxy: Proxy) -> None:
     """Log once how long the start took, from when on `/up` answers 200."""
-    await host.listed.wait()
+    await proxy.listed.wait()
     log.info("ready after %.2f s", age_s())
 
 
-async def drain(server: Server, host: Host) -> None:
+async def drain(server: Server, proxy: Proxy) -> None:
     """Answer all that was taken, in time for SIGKILL, while new callers are sent elsewhere.
 
     Callers use the connections that they have for as long as these stay open, so those are served on for a
@@ -97,43 +97,43 @@
     server.draining = True
     await asyncio.sleep(max(ACCEPT_S, SERVE_SHARE * end))
     server.leaving = True
-    log.info("drain: %d callers, %d requests open", len(server.callers), len(host.requests))
+    log.info("drain: %d callers, %d requests open", len(server.clients), len(proxy.requests))
     await _emptied(server, begun_us + int(end * 1e6))
     took_s = (now_us() - begun_us) / 1e6
     log.info(
         "drain: ends after %.1f s, %d callers, %d requests open",
         took_s,
-        len(server.callers),
-        len(host.requests),
+        len(server.clients),
+        len(proxy.requests),
     )
-    host.end()
+    proxy.end()
     server.turn_away_unfinished()
     await _emptied(server, now_us() + int(FLUSH_S * 1e6))
 
 
 async def _emptied(server: Server, until_us: int) -> None:
     """Wait until all callers have their answers and are gone, or until that time."""
-    while not (server.shut() and not server.callers) and now_us() < until_us:
+    while not (server.shut() and not server.clients) and now_us() < until_us:
         server.close_idle()
         await asyncio.sleep(0.01)
 
 
 def reload(server: Server) -> None:
     """Read the configuration again; a bad one is logged and changes nothing."""
-    before = server.host.config
+    before = server.proxy.config
     try:
         server.reload(load(os.environ))
     except Exception as error:  # whatever is wrong with a file, it must not end a process that serves
         log.error("the configuration is not taken: %s", error)
         return
-    config = server.host.config
+    config = server.proxy.config
     news = "unchanged" if config.digest == before.digest else "in force"
     bounds = config.bounds
     log.info(
         "the configuration is taken, settings %s: %s; bounds: callers %d, connections %d, bytes held %d",
         news,
-        server.host.version(),
-        bounds.callers,
+        server.proxy.version(),
+        bounds.clients,
         bounds.endpoints,
         bounds.held,
     )
@@ -145,18 +145,18 @@
     signals = SignalActions()
     for number in (signal.SIGTERM, signal.SIGINT):
         signals.handle(number, stop.set)
-    host = Host(config)
-    server = Server(host, config.bounds.callers)
+    proxy = Proxy(config)
+    server = Server(proxy, config.bounds.clients)
     signals.handle(signal.SIGHUP, partial(reload, server))
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
     server.bind(config.listen.host, config.listen.port)
-    host.start()
+    proxy.start()
     chores = (
-        host.upstream.sweep(),
-        server.watch_callers(),
+        proxy.upstream.sweep(),
+        server.watch_clients(),
         signals.watch(),
         watch_lag(),
-        report(host, server),
+        report(proxy, server),
     )
     background = [loop.create_task(chore) for chore in chores]
     # What lives from here to the end need not be walked again: a full collection holds up every request.
@@ -171,13 +171,13 @@
         config.listen.host,
         config.listen.port,
         settings.layer,
-        settings.rank,
-        settings.balancers,
+        settings.instance_index,
+        settings.instance_count,
         settings.zone or "-",
     )
-    background.append(loop.create_task(tell_ready(host)))
+    background.append(loop.create_task(tell_ready(proxy)))
     await stop.wait()
-    await drain(server, host)
+    await drain(server, proxy)
     for task in background:
         task.cancel()
 
@@ -197,7 +197,7 @@
         runner = asyncio.Runner(loop_factory=uvloop.new_event_loop)
         runner.run(serve(config))
     except (ConfigError, OSError) as error:
-        print(f"eiderhub.sidecar: {error}", file=sys.stderr)
+        print(f"corkdoor.sidecar: {error}", file=sys.stderr)
         return 1
     # Not by way of the interpreter's end: that gives signals back, and a reload that is asked for then, or a
     # second SIGTERM, would end the process in its own way. All is answered, and the log is not buffered.
--- a/eiderhub/sidecar/bounds.py
+++ b/corkdoor/sidecar/bounds.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 OWN_SOCKETS = 16  # the loop, the log, the listener, discovery and its successor: for neither side
-CALLERS_SHARE = 0.55  # of the other descriptors; twice what callers with requests open may hold
+CLIENTS_SHARE = 0.55  # of the other descriptors; twice what callers with requests open may hold
 BASE_MB = 24  # the process without what it holds for others, its connections included
 HELD_SHARE = 0.4  # of the memory above that, for requests and answers: objects round the bytes take as much
 LEAST_HELD = 1 << 20  # bytes, however small the limit: below it nothing could be served
@@ -33,13 +33,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    callers: int  # connections of callers
+    clients: int  # connections of callers
     endpoints: int  # connections to endpoints
     held: int  # bytes
 
     @staticmethod
     def within(sockets: int, memory_mb: float) -> Bounds:
         free = max(2, sockets - OWN_SOCKETS)
-        callers = max(1, int(CALLERS_SHARE * free))
+        clients = max(1, int(CLIENTS_SHARE * free))
         held = int(HELD_SHARE * (memory_mb - BASE_MB) * (1 << 20))
-        return Bounds(callers, max(1, free - callers), max(LEAST_HELD, held))
+        return Bounds(clients, max(1, free - clients), max(LEAST_HELD, held))
--- a/eiderhub/sidecar/config.py
+++ b/corkdoor/sidecar/config.py
@@ -9,10 +9,10 @@
 from pathlib import Path
 from typing import Any
 
-from eiderhub.interface import Settings
-from eiderhub.settings import settings_from
-from eiderhub.sidecar.bounds import Bounds
-from eiderhub.sidecar.discovery import Listing, read_listing
+from corkdoor.settings import Settings
+from corkdoor.settings_reader import read_settings
+from corkdoor.sidecar.bounds import Bounds
+from corkdoor.sidecar.discovery import EndpointList, read_endpoint_list
 
 SOCKETS, MEMORY_MB = 1024, 192  # where the configuration states no limit
 
@@ -34,7 +34,7 @@
     discovery: Address
     seed: int
     bounds: Bounds
-    known: Listing
+    known: EndpointList
     settings: Settings
     digest: str = "-"  # of the settings as the file states them: tells on-call staff which ones are in force
 
@@ -90,11 +90,11 @@
         raise ConfigError("GW_CONFIG: missing")
     document = _document(path)
     try:
-        settings = settings_from(document.get("settings"))
+        settings = read_settings(document.get("settings"))
     except (ValueError, OverflowError) as error:
         raise ConfigError(f"settings: {error}") from None
     try:
-        known = read_listing(document.get("known"))
+        known = read_endpoint_list(document.get("known"))
     except (ValueError, OverflowError) as error:
         raise ConfigError(f"known: {error}") from None
     return Config(
--- a/eiderhub/sidecar/discovery.py
+++ b/corkdoor/sidecar/discovery.py
@@ -9,12 +9,13 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from eiderhub.interface import Discovery, Endpoint, ListForm, Readiness, Settings
-from eiderhub.policy.watch_waits import WatchWaits
-from eiderhub.sidecar.bounds import Budget
-from eiderhub.sidecar.clock import UNIX_OFFSET_US, now_us
-from eiderhub.sidecar.stream import connect
-from eiderhub.sidecar.upstream import Connection, Response
+from corkdoor.model import DiscoveryMode, Endpoint, Readiness, WatchEventKind
+from corkdoor.policy.watch_timeout import WatchWaits
+from corkdoor.settings import Settings
+from corkdoor.sidecar.bounds import Budget
+from corkdoor.sidecar.clock import UNIX_OFFSET_US, now_us
+from corkdoor.sidecar.stream import connect
+from corkdoor.sidecar.upstream import Connection, Response
 
 MAX_LIST = 2 << 20  # bytes of a list: some 200 for each endpoint
 PATIENCE_S = 2.0  # a call that does not wait may be late by so much: then it counts as told
@@ -26,7 +27,7 @@
 log = logging.getLogger(__name__)
 
 
-class Listed(NamedTuple):
+class ResolvedEndpoint(NamedTuple):
     """One entry: the endpoint as the module knows it, and where it listens."""
 
     endpoint: Endpoint
@@ -46,38 +47,38 @@
     """An answer that is whole but no list: it counts as told too, and may come again just so."""
 
 
-class Listing(NamedTuple):
+class EndpointList(NamedTuple):
     generation: int
     whole: bool
-    entries: list[Listed]
+    entries: list[ResolvedEndpoint]
 
 
-def _entry(row: Any) -> Listed:
+def _entry(row: Any) -> ResolvedEndpoint:
     host, _, port = row["hostPort"].rpartition(":")
     started_ms = int(row.get("startedAtMs") or 0)
     weight = float(row.get("weight") or 1.0)
     endpoint = Endpoint(
         id=str(row["instanceId"]),
         zone=str(row.get("zone") or ""),
-        kind=str(row.get("machineType") or ""),
+        machine_type=str(row.get("machineType") or ""),
         cell=int(row["cell"]) if row.get("cell") is not None else -1,
         readiness=Readiness(row["lifecycle"]),
         weight=weight if weight > 0 else 1.0,
         # 0 stands for long ago; the module's clock is monotonic, so a start may lie before its zero.
-        launched_us=started_ms * 1000 - UNIX_OFFSET_US or 1 if started_ms else 0,
+        started_us=started_ms * 1000 - UNIX_OFFSET_US or 1 if started_ms else 0,
     )
     if not host or not 0 < int(port) < 1 << 16:
         raise ValueError("hostPort")  # an attempt there would end in an error that is no socket's
-    return Listed(endpoint, host, int(port))
+    return ResolvedEndpoint(endpoint, host, int(port))
 
 
-def read_listing(document: Any) -> Listing:
+def read_endpoint_list(document: Any) -> EndpointList:
     """Read a list in discovery's form."""
     if document is None:  # a sidecar that never had one
-        return Listing(0, True, [])
+        return EndpointList(0, True, [])
     try:
         entries = [_entry(row) for row in document["instances"]]
-        return Listing(int(document["generation"]), bool(document["reset"]), entries)
+        return EndpointList(int(document["generation"]), bool(document["reset"]), entries)
     except (KeyError, TypeError, ValueError, AttributeError) as error:
         raise ValueError(f"no list of endpoints ({type(error).__name__}: {error})") from None
 
@@ -88,12 +89,12 @@
     Where lists are pushed, news counts as told the moment that discovery is back: one that hangs since before
     has to make room for the next in good time.
     """
-    if settings.discovery is not Discovery.PUSH:
+    if settings.discovery_mode is not DiscoveryMode.PUSH:
         return CONNECT_S
-    return min(CONNECT_S, max(settings.rules.drain_grace_us / 4e6, AGAIN_CONNECT_S))
+    return min(CONNECT_S, max(settings.lifecycle.drain_grace_us / 4e6, AGAIN_CONNECT_S))
 
 
-class Watcher:
+class DiscoveryWatcher:
     """Keeps one watch open while it is on; a failure ends it, and the module decides when to ask again."""
 
     def __init__(
@@ -102,7 +103,7 @@
         port: int,
         generation: int,
         connect_s: float,
-        deliver: Callable[[ListForm, list[Listed]], None],
+        deliver: Callable[[WatchEventKind, list[ResolvedEndpoint]], None],
     ) -> None:
         self.host = host
         self.port = port
@@ -147,23 +148,23 @@
             self.waits.answered()
             whole = listing.whole or self.moved
             self.generation, self.moved = listing.generation, False
-            self.deliver(ListForm.FULL if whole else ListForm.DELTA, listing.entries)
+            self.deliver(WatchEventKind.FULL if whole else WatchEventKind.DELTA, listing.entries)
 
     async def _fail(self, error: Exception) -> None:
         spent_ms = (now_us() - self._asked_us) // 1000
         where = f"{self.host}:{self.port}"
         log.warning("discovery %s: %s: %s, after %d ms", where, type(error).__name__, error, spent_ms)
         self._hang_up()
-        form = ListForm.REFUSED if isinstance(error, Refused) else ListForm.FAILED
+        form = WatchEventKind.REJECTED if isinstance(error, Refused) else WatchEventKind.FAILED
         if isinstance(error, BrokenOff | Unreadable):
-            self.lost, form = True, ListForm.LOST
+            self.lost, form = True, WatchEventKind.LOST
         self.waits.failed(now_us(), form)
         if isinstance(error, Unreadable):
             await asyncio.sleep(NEW_WATCH_S * random.uniform(1.0, 1.4))
         self._task = None
         self.deliver(form, [])
 
-    async def _ask(self) -> Listing:
+    async def _ask(self) -> EndpointList:
         loop = asyncio.get_running_loop()
         self._asked_us = now_us()
         if self._connection is None or self._connection.lost:
@@ -186,7 +187,7 @@
         if response.status != 200:
             raise Refused(f"answered {response.status}")
         try:
-            return read_listing(json.loads(response.body))
+            return read_endpoint_list(json.loads(response.body))
         except (ValueError, RecursionError) as error:
             raise Unreadable(str(error)) from None
 
--- a/eiderhub/sidecar/invariants.py
+++ b/corkdoor/sidecar/invariants.py
@@ -14,8 +14,9 @@
 from enum import Enum
 from typing import NamedTuple
 
-from eiderhub.interface import Effect, Limits, Outcome, RequestClass
-from eiderhub.policy.rules import NEVER_RAN, may_resend
+from corkdoor.model import Idempotency, Outcome
+from corkdoor.policy.retry_safety import NEVER_RAN, may_resend
+from corkdoor.settings import Limits, RequestClass
 
 HELD_UP_US = 150_000  # a process may be held up for so long between reading its clock and writing
 log = logging.getLogger(__name__)
@@ -87,19 +88,26 @@
     return item[0].name
 
 
-def may_repeat(grade: RequestClass, limits: Limits, sent: Iterable[Sent], to: Location, now_us: int) -> bool:
+def may_repeat(
+    request_class: RequestClass, limits: Limits, sent: Iterable[Sent], to: Location, now_us: int
+) -> bool:
     """Whether another attempt may leave now, by what became of those before it (rule 2).
 
     The deduplication window counts from the earliest attempt that may have run, and a send may be held up.
     """
     earlier = [attempt for attempt in sent if attempt.outcome not in NEVER_RAN]
     out = any(attempt.outcome is None for attempt in earlier)
-    if out and (not limits.second_copies or grade.effect is Effect.AT_MOST_ONCE):
+    if out and (not limits.hedging_allowed or request_class.idempotency is Idempotency.NOT_IDEMPOTENT):
         return False
     if not earlier:
         return True
     first = min(earlier)
-    window_us = grade.dedup_window_us - HELD_UP_US
+    window_us = request_class.deduplication_window_us - HELD_UP_US
     return may_resend(
-        grade.effect, grade.group, window_us, (first.at_us, *first.location), now_us, (to.zone, to.cell)
+        request_class.idempotency,
+        request_class.deduplication_scope,
+        window_us,
+        (first.at_us, *first.location),
+        now_us,
+        (to.zone, to.cell),
     )
--- a/eiderhub/sidecar/server.py
+++ b/corkdoor/sidecar/server.py
@@ -9,13 +9,15 @@
 
 import httptools
 
-from eiderhub.interface import Effect, RequestClass, Settings
-from eiderhub.sidecar.clock import now_us
-from eiderhub.sidecar.config import Config
-from eiderhub.sidecar.host import Host, Request
-from eiderhub.sidecar.invariants import Invariant
-from eiderhub.sidecar.stream import READ_BYTES, Acceptor, StreamTransport
-from eiderhub.sidecar.upstream import HOP_BY_HOP, OPTIONAL_WHITE_SPACE
+from corkdoor.model import Idempotency
+from corkdoor.settings import RequestClass, Settings
+from corkdoor.sidecar.clock import now_us
+from corkdoor.sidecar.config import Config
+from corkdoor.sidecar.http_fields import HOP_BY_HOP_FIELDS, OPTIONAL_WHITESPACE
+from corkdoor.sidecar.invariants import Invariant
+from corkdoor.sidecar.proxied_request import ProxiedRequest
+from corkdoor.sidecar.proxy import Proxy
+from corkdoor.sidecar.stream import READ_BYTES, Acceptor, StreamTransport
 
 MAX_BODY = 64 * 1024
 MAX_HEAD = 16 * 1024
@@ -32,7 +34,7 @@
 BACKLOG = 1024
 BUSY_WAIT = b"1"  # Retry-After where no memory is left
 REASONS = {status.value: status.phrase.encode() for status in HTTPStatus}
-NOT_FORWARDED = HOP_BY_HOP | {b"req-deadline-ms"}  # it is told anew with each attempt
+NOT_FORWARDED = HOP_BY_HOP_FIELDS | {b"req-deadline-ms"}  # it is told anew with each attempt
 log = logging.getLogger(__name__)
 
 
@@ -55,12 +57,12 @@
     arrived_us: int
 
 
-class CallerConnection:
+class ClientConnection:
     """One caller's connection: requests are served one after another."""
 
     def __init__(self, server: Server) -> None:
         self.server = server
-        self.current: Request | None = None
+        self.current: ProxiedRequest | None = None
         self.request_id = b""
         self.waiting: list[Incoming] = []  # whole, but not yet admitted
         self.keep = True
@@ -131,7 +133,7 @@
         just so. Callers that send one request at a time are never met by this.
         """
         if self.current is not None:
-            self.server.host.gone(self.current)
+            self.server.proxy.gone(self.current)
             if fault.status == 503:  # Rule 2: it would tell that the request in front never ran
                 fault = Rejected(500, str(fault))
         self._reject(fault)
@@ -149,7 +151,7 @@
         current, self.current = self.current, None
         if current is not None:
             self.server.forget(self.request_id)
-            self.server.host.gone(current)
+            self.server.proxy.gone(current)
 
     def pause_writing(self) -> None:
         """Guards against answers that pile up unread: the next request waits until this one's has left."""
@@ -186,7 +188,7 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         if self._in_head:  # what comes behind a chunked body is no part of the head, and not passed on
-            self._headers.append((name, value.strip(OPTIONAL_WHITE_SPACE)))  # the parser leaves it at the end
+            self._headers.append((name, value.strip(OPTIONAL_WHITESPACE)))  # the parser leaves it at the end
         self._grow_head(len(name) + len(value) + HEADER_COST)
 
     def _grow_head(self, size: int) -> None:
@@ -270,7 +272,7 @@
         self.server.fresh.pop(self, None)
         if request is not None:
             self.current = request
-            self.server.host.take(request)
+            self.server.proxy.take(request)
 
     def _reject(self, fault: Rejected) -> None:
         self.keep = False
@@ -288,7 +290,7 @@
         # Rule 1: what waits behind this request was taken too, so it is answered even while we drain.
         keep = self.keep and (self.backlogged or not (self.server.leaving or self.server.crowded()))
         lines = [b"HTTP/1.1 %d %s" % (status, REASONS[status]), b"Content-Length: %d" % len(body)]
-        lines += [b"%s: %s" % header for header in headers if header[0].lower() not in HOP_BY_HOP]
+        lines += [b"%s: %s" % header for header in headers if header[0].lower() not in HOP_BY_HOP_FIELDS]
         if not keep:
             lines.append(b"Connection: close")
         self.transport.write(b"\r\n".join(lines) + b"\r\n\r\n" + body)
@@ -330,11 +332,11 @@
             if abort:  # what is not sent yet may never be taken
                 self.transport.abort()
             return
-        host = self.server.host
+        proxy = self.server.proxy
         if self.current is not None:
-            host.invariants.note_broken(Invariant.CLOSED_UNANSWERED, f"{self.label()}, {reason}")
+            proxy.invariants.note_broken(Invariant.CLOSED_UNANSWERED, f"{self.label()}, {reason}")
             return
-        host.tally[f"closed {reason}"] += 1
+        proxy.tally[f"closed {reason}"] += 1
         if abort:
             self.transport.abort()
         else:
@@ -413,14 +415,14 @@
 class Server:
     """All callers' connections."""
 
-    def __init__(self, host: Host, most: int) -> None:
-        self.host = host
-        self.budget = host.budget
-        self.callers: dict[CallerConnection, None] = {}
-        self.fresh: dict[CallerConnection, None] = {}  # those that never made a valid request, oldest first
-        self.idle: dict[CallerConnection, None] = {}  # those between requests, the longest idle first
+    def __init__(self, proxy: Proxy, most: int) -> None:
+        self.proxy = proxy
+        self.budget = proxy.budget
+        self.clients: dict[ClientConnection, None] = {}
+        self.fresh: dict[ClientConnection, None] = {}  # those that never made a valid request, oldest first
+        self.idle: dict[ClientConnection, None] = {}  # those between requests, the longest idle first
         self.open_ids: set[bytes] = set()
-        self.configure(host.settings, most)
+        self.configure(proxy.settings, most)
         self.draining = False  # no more callers are wanted
         self.leaving = False  # nor those that are here
         self.closed = False
@@ -431,62 +433,62 @@
         self.longest_s = max(c.deadline_us for c in settings.classes) / 1e6
         self.classes = {c.name.encode(): c for c in settings.classes}
         self.tenants = {t.name for t in settings.tenants}
-        while len(self.callers) > most and (caller := self._spare()) is not None:
-            self._close(caller)
+        while len(self.clients) > most and (client := self._spare()) is not None:
+            self._close(client)
 
     def reload(self, config: Config) -> None:
         """Put another configuration in force, between two requests; ConfigError: nothing has changed."""
-        self.host.reload(config)
-        self.configure(config.settings, config.bounds.callers)
+        self.proxy.reload(config)
+        self.configure(config.settings, config.bounds.clients)
 
     def crowded(self) -> bool:
         """Whether callers stand past a bound that was lowered: those in use leave with their next answer."""
-        return len(self.callers) > self.most and sum(not c.ended for c in self.callers) > self.most
+        return len(self.clients) > self.most and sum(not c.ended for c in self.clients) > self.most
 
     def bind(self, host: str, port: int) -> None:
         """Take the address; connections wait until the module has started."""
-        self.listener = Acceptor(host, port, BACKLOG, lambda: CallerConnection(self))
+        self.listener = Acceptor(host, port, BACKLOG, lambda: ClientConnection(self))
 
-    def joined(self, caller: CallerConnection) -> None:
+    def joined(self, client: ClientConnection) -> None:
         """Take a connection in. Past the bound one is closed, so that no call ever lacks a descriptor.
 
         First one that never said anything of use, then the one idle longest, then one that is still writing
         its first request; where all are at work, the new one, of which nothing has been read. One whose
         request has come and only waits to be read is at work too.
         """
-        while len(self.callers) >= self.most:
-            victim = self._spare() or caller
+        while len(self.clients) >= self.most:
+            victim = self._spare() or client
             self._close(victim)
-            if victim is caller:
+            if victim is client:
                 return
-        self.callers[caller] = None
-        self.fresh[caller] = None
+        self.clients[client] = None
+        self.fresh[client] = None
 
-    def _close(self, caller: CallerConnection) -> None:
-        self.left(caller)
-        caller.ended = True
-        caller.close("for another caller", abort=True)
+    def _close(self, client: ClientConnection) -> None:
+        self.left(client)
+        client.ended = True
+        client.close("for another caller", abort=True)
 
-    def _spare(self) -> CallerConnection | None:
+    def _spare(self) -> ClientConnection | None:
         spare_us = now_us() - int(SPARE_S * 1e6)
-        silent = (caller for caller in self.fresh if not caller.receiving)
-        idle = (caller for caller in self.idle if caller.since_us < spare_us)
-        slow = (caller for caller in self.fresh if caller.receiving)
+        silent = (client for client in self.fresh if not client.receiving)
+        idle = (client for client in self.idle if client.since_us < spare_us)
+        slow = (client for client in self.fresh if client.receiving)
         return next((c for group in (silent, idle, slow) for c in group if not c.unread()), None)
 
-    def left(self, caller: CallerConnection) -> None:
-        for group in (self.callers, self.fresh, self.idle):
-            group.pop(caller, None)
+    def left(self, client: ClientConnection) -> None:
+        for group in (self.clients, self.fresh, self.idle):
+            group.pop(client, None)
 
     def forget(self, request_id: bytes) -> None:
         self.open_ids.discard(request_id)
 
-    async def watch_callers(self) -> None:
+    async def watch_clients(self) -> None:
         while True:
             await asyncio.sleep(CHECK_S)
             now = now_us()
-            for caller in list(self.callers):
-                caller.check(now)
+            for client in list(self.clients):
+                client.check(now)
 
     def shut(self) -> bool:
         """Take no more connections, once none waits to be taken: it would be reset, with what it asks."""
@@ -497,34 +499,36 @@
 
     def turn_away_unfinished(self) -> None:
         """Answer requests of which a part has come: the rest would be taken, and find nobody."""
-        for caller in list(self.callers):
-            if caller.receiving and not caller.ended:
-                caller.stop(Rejected(503, "this sidecar ends"))
+        for client in list(self.clients):
+            if client.receiving and not client.ended:
+                client.stop(Rejected(503, "this sidecar ends"))
 
     def close_idle(self) -> None:
-        for caller in list(self.callers):
-            if not caller.busy and not caller.ended and not caller.unread():
-                caller.close("this sidecar leaves")
+        for client in list(self.clients):
+            if not client.busy and not client.ended and not client.unread():
+                client.close("this sidecar leaves")
 
     # --- reading a request ---
 
-    def admit(self, caller: CallerConnection, incoming: Incoming) -> Request | None:
+    def admit(self, client: ClientConnection, incoming: Incoming) -> ProxiedRequest | None:
         """The request to take, or None where it is answered already."""
         path = incoming.url.partition(b"?")[0]
         if path == b"/up":
-            self._up(caller, incoming)
+            self._up(client, incoming)
             return None
-        grade = self.classes.get(path[1:].partition(b"/")[0]) if path[:1] == b"/" else None
-        if grade is None:
+        request_class = self.classes.get(path[1:].partition(b"/")[0]) if path[:1] == b"/" else None
+        if request_class is None:
             raise Rejected(404, "no such class")
-        return self._request(caller, incoming, grade)
+        return self._request(client, incoming, request_class)
 
-    def _up(self, caller: CallerConnection, incoming: Incoming) -> None:
+    def _up(self, client: ClientConnection, incoming: Incoming) -> None:
         if incoming.method != b"GET":
             raise Rejected(405, "GET only")
-        caller.answer(200 if self.host.ready and not self.draining else 503, [], b"")
+        client.answer(200 if self.proxy.ready and not self.draining else 503, [], b"")
 
-    def _request(self, caller: CallerConnection, incoming: Incoming, grade: RequestClass) -> Request:
+    def _request(
+        self, client: ClientConnection, incoming: Incoming, request_class: RequestClass
+    ) -> ProxiedRequest:
         fields: dict[bytes, bytes] = {}
         lines = [b"%s %s HTTP/1.1\r\n" % (incoming.method, incoming.url)]
         for name, value in incoming.headers:
@@ -536,7 +540,7 @@
                 lines.append(b"%s: %s\r\n" % (name, value))
         if b"host" not in fields:  # HTTP/1.0 may leave it out, what goes on may not
             lines.append(b"Host: endpoint\r\n")
-        _check_method(incoming.method, grade, fields)
+        _check_method(incoming.method, request_class, fields)
         request_id = fields.get(b"req-id", b"")
         if not _is_token(request_id):
             raise Rejected(400, "req-id: missing or bad")
@@ -551,12 +555,12 @@
             # Two answers would be owed under one id, and endpoints could not tell its attempts apart.
             raise Rejected(409, "req-id: this request is open")
         self.open_ids.add(request_id)
-        caller.request_id = request_id
-        if incoming.body or grade.effect is not Effect.IDEMPOTENT:
+        client.request_id = request_id
+        if incoming.body or request_class.idempotency is not Idempotency.IDEMPOTENT:
             lines.append(b"Content-Length: %d\r\n" % len(incoming.body))
-        return Request(
-            caller,
-            grade,
+        return ProxiedRequest(
+            client,
+            request_class,
             tenant,
             hint_us,
             incoming.arrived_us + deadline_ms * 1000,
@@ -574,10 +578,10 @@
         return owner
 
 
-def _check_method(method: bytes, grade: RequestClass, fields: dict[bytes, bytes]) -> None:
-    if method != (b"GET" if grade.effect is Effect.IDEMPOTENT else b"POST"):
+def _check_method(method: bytes, request_class: RequestClass, fields: dict[bytes, bytes]) -> None:
+    if method != (b"GET" if request_class.idempotency is Idempotency.IDEMPOTENT else b"POST"):
         raise Rejected(405, "the method does not fit the class")
-    if grade.effect is Effect.DEDUPLICATED and not fields.get(b"idempotency-key"):
+    if request_class.idempotency is Idempotency.WITH_KEY and not fields.get(b"idempotency-key"):
         raise Rejected(400, "idempotency-key: missing")
 
 
--- a/eiderhub/sidecar/upstream.py
+++ b/corkdoor/sidecar/upstream.py
@@ -14,11 +14,13 @@
 
 import httptools
 
-from eiderhub.interface import LoadReport, Outcome, read_load
-from eiderhub.sidecar.bounds import Budget
-from eiderhub.sidecar.clock import Alarm, now_us
-from eiderhub.sidecar.invariants import Invariant, InvariantLog, Location
-from eiderhub.sidecar.stream import StreamTransport, connect
+from corkdoor.load_report import LoadReport, parse_load_report
+from corkdoor.model import Outcome
+from corkdoor.sidecar.bounds import Budget
+from corkdoor.sidecar.clock import Alarm, now_us
+from corkdoor.sidecar.http_fields import OPTIONAL_WHITESPACE
+from corkdoor.sidecar.invariants import Invariant, InvariantLog, Location
+from corkdoor.sidecar.stream import StreamTransport, connect
 
 IDLE_SHARE = 0.85  # of the time after which endpoints close idle connections, how long we keep them
 IDLE_US = 5_000_000  # that time, where it is not told
@@ -27,14 +29,6 @@
 MAX_HEAD = 16 * 1024  # bytes of a head, with all interim answers before it
 STALL_US = 1_000_000  # an answer that has begun is written in one go: one that stops for so long never ends
 
-# Headers that belong to one connection, and not to the message: RFC 9110, 7.6.1.
-HOP_BY_HOP = frozenset(
-    (
-        b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer", b"transfer-encoding",
-        b"upgrade", b"content-length", b"expect",
-    )
-)  # fmt: skip
-OPTIONAL_WHITE_SPACE = b" \t"  # round a header's value, and no part of it: RFC 9110, 5.5
 log = logging.getLogger(__name__)
 
 
@@ -180,7 +174,7 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         if self._in_head:  # what comes behind a chunked body is no part of the head
-            self._headers.append((name, value.strip(OPTIONAL_WHITE_SPACE)))  # the parser leaves it at the end
+            self._headers.append((name, value.strip(OPTIONAL_WHITESPACE)))  # the parser leaves it at the end
 
     def on_headers_complete(self) -> None:
         if self._parser is None or self._parser.get_status_code() < 200:
@@ -279,11 +273,11 @@
 class Pool:
     """The connections to one endpoint."""
 
-    def __init__(self, upstream: Upstream, host: str, port: int, launched_us: int) -> None:
+    def __init__(self, upstream: Upstream, host: str, port: int, started_us: int) -> None:
         self.upstream = upstream
         self.host = host
         self.port = port
-        self.launched_us = launched_us
+        self.started_us = started_us
         self.ready = True
         self.written_us = 0  # when the last attempt was given to the kernel; 0: none was
         self.written = ""  # its label
@@ -345,7 +339,7 @@
     if response.status in (503, 504):
         for name, value in response.headers:
             if name.lower() == b"srv-declined" and value == b"1":
-                return Outcome.FULL
+                return Outcome.REJECTED
     return Outcome.ERROR
 
 
@@ -353,7 +347,7 @@
     """The load report of an answer, where it holds one that can be read."""
     for name, value in response.headers:
         if name.lower() == b"srv-load":
-            return read_load(value.decode("latin-1"), "=")
+            return parse_load_report(value.decode("latin-1"), "=")
     return None
 
 
@@ -397,17 +391,17 @@
                 if 0 < connection.heard_us < now - STALL_US:
                     connection.fail("it stopped half way")
 
-    def place(self, endpoint: str, host: str, port: int, launched_us: int) -> None:
+    def place(self, endpoint: str, host: str, port: int, started_us: int) -> None:
         """An endpoint that is ready; where its address is another, or its process, old connections go.
 
         Those in use or coming up as well, once they are free: a pool holds connections to one process only.
         """
         pool = self.pools.get(endpoint)
-        if pool is not None and (pool.host, pool.port, pool.launched_us) != (host, port, launched_us):
+        if pool is not None and (pool.host, pool.port, pool.started_us) != (host, port, started_us):
             self.retire(endpoint)
             pool = None
         if pool is None:
-            self.pools[endpoint] = Pool(self, host, port, launched_us)
+            self.pools[endpoint] = Pool(self, host, port, started_us)
 
     def retire(self, endpoint: str) -> Pool | None:
         """An endpoint that drains or is gone: what it has may end, nothing new begins.
@@ -438,7 +432,7 @@
             self.tally["reused"] += 1
             self._write(attempt, connection, pool)
         elif attempt.data(attempt) is None:  # no connection either is opened for nobody
-            loop.call_soon(attempt.end, Outcome.MOOT)
+            loop.call_soon(attempt.end, Outcome.NOT_SENT)
         elif self.open < self.most or self._make_room():
             self.open += 1
             self.tally["opened"] += 1
@@ -490,7 +484,7 @@
         data = attempt.data(attempt)
         if data is None or not pool.ready:
             pool.rest(connection)
-            asyncio.get_running_loop().call_soon(attempt.end, Outcome.MOOT)
+            asyncio.get_running_loop().call_soon(attempt.end, Outcome.NOT_SENT)
             return
         connection.attempt = attempt
         attempt.connection = connection
--- a/eiderhub/figures.py
+++ b/corkdoor/status.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from eiderhub.balancer import Balancer
-from eiderhub.policy.pools import Pool
+from corkdoor.balancer import Balancer
+from corkdoor.policy.pools import Pool
 
 BUSIEST = 3  # endpoints of each pool that are named one by one
 
--- a/eiderhub/policy/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""The decisions of a sidecar, one concern a module; `eiderhub/balancer.py` puts them together."""
--- a/fleet/__main__.py
+++ b/emulator/__main__.py
@@ -1,4 +1,4 @@
-"""The command line: `python -m fleet run SCENARIO`, `python -m fleet slopes` and `python -m fleet growth`."""
+"""The command line: `python -m emulator run SCENARIO`, and `slopes`, `growth` and `crowd`."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 @app.command()
 def run(
-    scenario: Annotated[Path, typer.Argument(help="a scenario in TOML, as in fleet/scenarios")],
+    scenario: Annotated[Path, typer.Argument(help="a scenario in TOML, as in emulator/scenarios")],
     size: Annotated[int, typer.Option(help="play only this number of hollow sidecars; 0: all stated")] = 0,
     records: Annotated[Path, typer.Option(help="where the measurements are kept")] = Path("records"),
     trial: Annotated[bool, typer.Option(help="mark the measurements as a trial's")] = False,
 ) -> None:
     """Play a scenario at each of its sizes; each measurement is one line of JSON in `records`."""
     # Not at the top: the other commands need nothing of what this one loads.
-    from fleet.run import main
+    from emulator.run import main
 
     raise typer.Exit(main(scenario, size, records, trial))
 
@@ -38,9 +38,9 @@
         app.add_typer(importlib.import_module(module).app, name=name)
 
 
-_add("slopes", "fleet.slopes")
-_add("growth", "fleet.growth")
-_add("crowd", "fleet.crowded_discovery")
+_add("slopes", "emulator.slopes")
+_add("growth", "emulator.growth")
+_add("crowd", "emulator.crowded_discovery")
 
 if __name__ == "__main__":
     app()
--- a/fleet/breakdown.py
+++ b/emulator/breakdown.py
@@ -1,7 +1,7 @@
 """The real sidecar with a stopwatch round each step of a call: where its processor time goes.
 
-Run in place of `eiderhub.sidecar`; on SIGUSR1 it writes what each step took, without the steps inside it, as
-one line of JSON to the file that `FLEET_BREAKDOWN` names. The stopwatch itself adds to each step.
+Run in place of `corkdoor.sidecar`; on SIGUSR1 it writes what each step took, without the steps inside it, as
+one line of JSON to the file that `EMULATOR_BREAKDOWN` names. The stopwatch itself adds to each step.
 """
 
 from __future__ import annotations
@@ -17,35 +17,35 @@
 from pathlib import Path
 from typing import Any
 
-from eiderhub import balancer
-from eiderhub.policy.buckets import TokenBuckets
-from eiderhub.sidecar import __main__ as program
-from eiderhub.sidecar import clock, discovery, host, server, upstream
-from fleet.sidecar import VARIABLE
+from corkdoor import balancer
+from corkdoor.policy.buckets import TokenBuckets
+from corkdoor.sidecar import __main__ as program
+from corkdoor.sidecar import clock, discovery, proxy, server, upstream
+from emulator.sidecar import VARIABLE
 
 # The step's name, its class, and its method.
 STEPS: tuple[tuple[str, type[Any], str], ...] = (
-    ("read request", server.CallerConnection, "data_received"),
+    ("read request", server.ClientConnection, "data_received"),
     ("admit", server.Server, "admit"),
-    ("host take", host.Host, "take"),
-    ("module order", balancer.Balancer, "order"),
+    ("host take", proxy.Proxy, "take"),
+    ("module order", balancer.Balancer, "on_request"),
     ("module in-use sum", balancer.Balancer, "_in_use"),
     ("module pick", balancer.Balancer, "_pick"),
     ("module refill", TokenBuckets, "refill"),
-    ("hand off", host.Host, "hand_off"),
+    ("hand off", proxy.Proxy, "send_attempt"),
     ("take connection", upstream.Pool, "take"),
     ("poll for staleness", upstream.Connection, "stale"),
     ("write to endpoint", upstream.Connection, "send"),
     ("read answer", upstream.Connection, "data_received"),
-    ("attempt ended", host.Host, "_ended"),
-    ("module reply", balancer.Balancer, "reply"),
-    ("write to caller", server.CallerConnection, "answer"),
+    ("attempt ended", proxy.Proxy, "_ended"),
+    ("module reply", balancer.Balancer, "on_attempt_end"),
+    ("write to caller", server.ClientConnection, "answer"),
     ("alarm set", clock.Alarm, "_arm"),
     ("alarm cancelled", clock.Alarm, "cancel"),
-    ("chore: check callers", server.CallerConnection, "check"),
-    ("chore: report", host.Host, "report"),
-    ("list taken", host.Host, "on_list"),
-    ("watch", discovery.Watcher, "on_response"),
+    ("chore: check callers", server.ClientConnection, "check"),
+    ("chore: report", proxy.Proxy, "report"),
+    ("list taken", proxy.Proxy, "on_list"),
+    ("watch", discovery.DiscoveryWatcher, "on_response"),
 )
 
 
--- a/fleet/clients.py
+++ b/emulator/clients.py
@@ -21,7 +21,7 @@
 import uvloop
 from hdrh.histogram import HdrHistogram
 
-from fleet.endpoint import serve_commands
+from emulator.endpoint import serve_commands
 
 LATE_US = 1000
 LATE_SHARE = 0.01
--- a/fleet/crowded_discovery.py
+++ b/emulator/crowded_discovery.py
@@ -4,7 +4,7 @@
 sidecars are the real decision module; what their discovery client does is played here: it asks, watches,
 moves to another address, and gives up on answers that are lost. Times are integer microseconds.
 
-    python -m fleet crowd --sidecars 7 --cost-ms 280 --seeds 20
+    python -m emulator crowd --sidecars 7 --cost-ms 280 --seeds 20
 """
 
 from __future__ import annotations
@@ -18,22 +18,13 @@
 
 import typer
 
-from eiderhub.balancer import Balancer
-from eiderhub.interface import (
-    Actions,
-    Discovery,
-    Endpoint,
-    Limits,
-    ListForm,
-    Readiness,
-    RequestClass,
-    Rules,
-    Settings,
-)
-from eiderhub.interface import Effect as RepeatEffect
-from eiderhub.policy.discovery_calls import ASK
-from eiderhub.policy.watch_waits import WatchWaits
-from eiderhub.sidecar.discovery import PATIENCE_S, WATCH_PATIENCE_S
+from corkdoor.balancer import Balancer
+from corkdoor.interface import Actions
+from corkdoor.model import DiscoveryMode, Endpoint, Readiness, Timer, WatchEventKind
+from corkdoor.model import Idempotency as RepeatEffect
+from corkdoor.policy.watch_timeout import WatchWaits
+from corkdoor.settings import LifecycleRules, Limits, RequestClass, Settings
+from corkdoor.sidecar.discovery import PATIENCE_S, WATCH_PATIENCE_S
 
 MS = 1_000
 S = 1_000_000
@@ -194,30 +185,32 @@
     def start(self) -> None:
         """As at the start of the process."""
         self.balancer.start(self.fleet.events.now)
-        self.balancer.discovery(self.fleet.events.now, ListForm.CACHED, [])
+        self.balancer.on_watch_event(self.fleet.events.now, WatchEventKind.CACHED, [])
 
     def move(self) -> None:
         """A reload names another address of the same discovery."""
-        self.tail(False)
+        self.watch_discovery(False)
         self.moved, self.moved_us = True, self.fleet.events.now
-        self.balancer.moved(self.fleet.events.now)
+        self.balancer.on_discovery_moved(self.fleet.events.now)
 
     # --- the module's actions ---
 
-    def tail(self, on: bool) -> None:
+    def watch_discovery(self, enabled: bool) -> None:
         """Ask, or hang up."""
-        if on and not self._watching:
+        if enabled and not self._watching:
             self._watching = True
             self._ask()
-        elif not on and self._watching:
+        elif not enabled and self._watching:
             self._carried_on = self._watching = False
             self._waits.interrupted(self.fleet.events.now)
             self._hang_up()
 
-    def timer(self, delay_us: int, mark: str) -> None:
+    def start_timer(self, delay_us: int, timer: Timer) -> None:
         """The module's timers for asking; it sets no others here."""
-        if mark == ASK:
-            self.fleet.events.after(delay_us, lambda: self.balancer.wake(self.fleet.events.now, ASK))
+        if timer is Timer.DISCOVERY_POLL:
+            self.fleet.events.after(
+                delay_us, lambda: self.balancer.on_timer(self.fleet.events.now, Timer.DISCOVERY_POLL)
+            )
 
     # --- its calls ---
 
@@ -242,30 +235,30 @@
             return
         self._serial += 1
         now = self.fleet.events.now
-        form = ListForm.FULL if self.moved else ListForm.DELTA
+        form = WatchEventKind.FULL if self.moved else WatchEventKind.DELTA
         self.moved, self.generation = False, generation
         self._waits.answered()
         self._carried_on = True
         self.told.append((now, generation))
-        self.balancer.discovery(now, form, [ENTRY] if call.after < generation else [])
+        self.balancer.on_watch_event(now, form, [ENTRY] if call.after < generation else [])
         if self._watching:
             self._ask()
 
     def refused(self, call: Call) -> None:
         """The call was turned away."""
         if call.serial == self._serial:
-            self._fail(ListForm.REFUSED)
+            self._fail(WatchEventKind.REJECTED)
 
     def _give_up(self, call: Call) -> None:
         if call.serial == self._serial:
             self._hang_up()
-            self._fail(ListForm.LOST)
+            self._fail(WatchEventKind.LOST)
 
-    def _fail(self, form: ListForm) -> None:
+    def _fail(self, form: WatchEventKind) -> None:
         self._serial += 1
         self._waits.failed(self.fleet.events.now, form)
         self._carried_on = self._watching = False
-        self.balancer.discovery(self.fleet.events.now, form, [])
+        self.balancer.on_watch_event(self.fleet.events.now, form, [])
 
 
 class Fleet:
@@ -278,8 +271,8 @@
         self.settings = Settings(
             classes=[RequestClass("read", 1 * S, 3 * S, RepeatEffect.IDEMPOTENT)],
             limits=Limits(max_attempts=3),
-            rules=Rules(drain_grace_us=GRACE_US, ask_every_us=ASK_EVERY_US),
-            discovery=Discovery.ASK,
+            lifecycle=LifecycleRules(drain_grace_us=GRACE_US, poll_interval_us=ASK_EVERY_US),
+            discovery_mode=DiscoveryMode.POLL,
         )
         self.discovery = CrowdedDiscovery(self.events, scenario, self._answer)
         self.discovery.refused = self._refuse
--- a/fleet/growth.py
+++ b/emulator/growth.py
@@ -1,4 +1,4 @@
-"""`python -m fleet growth`: what a sidecar needs with sixteen times the endpoints, row by row with its limit.
+"""`python -m emulator growth`: what a sidecar needs with 16 times the endpoints, row by row with its limit.
 
 The same day is played at the usual size and at the larger one: half of the endpoints are replaced while the
 sidecar is called, one message of changes each 50 ms. The traffic of the sidecar and the capacity of all
@@ -19,11 +19,11 @@
 from rich.console import Console
 from rich.table import Table
 
-from fleet import clients, endpoint
-from fleet.discovery import DiscoveryServer, Registry
-from fleet.sidecar import Sidecar, entry
-from fleet.slopes import endpoints
-from fleet.worker import Worker
+from emulator import clients, endpoint
+from emulator.discovery import DiscoveryServer, Registry
+from emulator.sidecar import Sidecar, entry
+from emulator.slopes import endpoints
+from emulator.worker import Worker
 
 SERVICE = "all"
 USUAL, LARGE = 200, 3200
@@ -133,7 +133,7 @@
         settings: dict[str, Any] = {"Discovery": "ask", "Balancers": BALANCERS}
         async with (
             Sidecar(listed, server.address(SERVICE), **settings) as sidecar,
-            Worker("fleet.clients") as caller,
+            Worker("emulator.clients") as caller,
         ):
             await asyncio.sleep(1.0)  # the first list has come, and the watch is open
             needs = await _played(sidecar, server, worker, caller, names, size, seconds)
--- a/fleet/hollow.py
+++ b/emulator/hollow.py
@@ -1,7 +1,7 @@
 """A process of hollow sidecars: the real host, module and discovery client, many of them, with no callers.
 
-Started as `python -m fleet.hollow FILE`; it takes commands as lines of JSON on standard input, answers each
-`sample` with one line on standard output, and ends when its input does or its time is up.
+Started as `python -m emulator.hollow FILE`; it takes commands as lines of JSON on standard input, answers
+each `sample` with one line on standard output, and ends when its input does or its time is up.
 
 What a hollow sidecar lacks of a real one: the server and its callers, the connections to endpoints, and a
 process of its own. Synthetic calls reach the module directly, and an answer comes by a timer.
@@ -25,19 +25,19 @@
 import uvloop
 from hdrh.histogram import HdrHistogram
 
-from eiderhub.interface import ListForm, Outcome
-from eiderhub.settings import settings_from
-from eiderhub.sidecar.bounds import Bounds
-from eiderhub.sidecar.clock import now_us
-from eiderhub.sidecar.config import Address, Config
-from eiderhub.sidecar.discovery import Listed, Listing, read_listing
-from eiderhub.sidecar.host import Host
-from fleet.discovery import Row
-from fleet.scenario import Load, Sidecar, settings_document, stream
+from corkdoor.model import Outcome, WatchEventKind
+from corkdoor.settings_reader import read_settings
+from corkdoor.sidecar.bounds import Bounds
+from corkdoor.sidecar.clock import now_us
+from corkdoor.sidecar.config import Address, Config
+from corkdoor.sidecar.discovery import EndpointList, ResolvedEndpoint, read_endpoint_list
+from corkdoor.sidecar.proxy import Proxy
+from emulator.discovery import Row
+from emulator.scenario import Load, Sidecar, settings_document, stream
 
 LATE_EVERY_S = 0.02  # how often the loop's lateness is looked at
 DRAWN = 4096  # random numbers drawn at a time
-BOUNDS = Bounds(callers=500, endpoints=400, held=1 << 24)
+BOUNDS = Bounds(clients=500, endpoints=400, held=1 << 24)
 
 
 class Orders(msgspec.Struct):
@@ -92,7 +92,7 @@
     return used.user + used.system
 
 
-class HollowHost(Host):
+class HollowHost(Proxy):
     """The real host whose attempts end by a timer."""
 
     def __init__(self, config: Config, number: int, process: HollowProcess) -> None:
@@ -102,20 +102,20 @@
         self.tries: dict[str, int] = {}
         self.dead = False
 
-    def on_list(self, form: ListForm, entries: list[Listed]) -> None:
+    def on_list(self, form: WatchEventKind, entries: list[ResolvedEndpoint]) -> None:
         super().on_list(form, entries)
-        if form in (ListForm.FULL, ListForm.DELTA):
+        if form in (WatchEventKind.FULL, WatchEventKind.DELTA):
             self.process.told.append((self.number, self.watcher.generation, time.monotonic_ns()))
 
-    def ask(self, call: str, grade: str, deadline_us: int) -> None:
+    def ask(self, call: str, class_name: str, deadline_us: int) -> None:
         """One synthetic call."""
-        self._tell(self.balancer.order, call, grade, "acme", deadline_us, None)
+        self._tell(self.balancer.on_request, call, class_name, "acme", deadline_us, None)
 
-    def hand_off(self, call: str, endpoint: str, max_wait_us: int) -> None:
-        number = self.tries[call] = self.tries.get(call, -1) + 1
+    def send_attempt(self, request_id: str, endpoint_id: str, max_wait_us: int) -> None:
+        number = self.tries[request_id] = self.tries.get(request_id, -1) + 1
         delay_s = self.process.service_s()
         loop = asyncio.get_running_loop()
-        loop.call_later(delay_s, self._served, call, number, endpoint, now_us())
+        loop.call_later(delay_s, self._served, request_id, number, endpoint_id, now_us())
 
     def _served(self, call: str, number: int, endpoint: str, sent_us: int) -> None:
         if self.dead:
@@ -123,20 +123,20 @@
         if self.tries.pop(call, None) is not None:
             self.process.ended["ok"] += 1
         spent = now_us() - sent_us
-        self._tell(self.balancer.reply, call, number, endpoint, spent, True, Outcome.OK, None)
+        self._tell(self.balancer.on_attempt_end, call, number, endpoint, spent, True, Outcome.OK, None)
 
-    def shed(self, call: str, wait_us: int) -> None:
-        self.tries.pop(call, None)
+    def reject_request(self, request_id: str, retry_after_us: int) -> None:
+        self.tries.pop(request_id, None)
         self.process.ended["shed"] += 1
 
-    def surrender(self, call: str) -> None:
-        self.tries.pop(call, None)
+    def fail_request(self, request_id: str) -> None:
+        self.tries.pop(request_id, None)
         self.process.ended["surrendered"] += 1
 
     def kill(self) -> None:
         """As if its process had been killed: its connection is reset, and nothing of it goes on."""
         self.dead = True
-        self.tail(False)
+        self.watch_discovery(False)
 
 
 class HollowProcess:
@@ -149,8 +149,8 @@
         self.sweeps: dict[int, asyncio.Task[None]] = {}
         self.lives: Counter[int] = Counter()
         # One object for all sidecars of a list: each real one has its own, so what this saves is told apart.
-        self.known: dict[str, Listing] = {
-            name: read_listing({"generation": 1, "reset": True, "instances": rows})
+        self.known: dict[str, EndpointList] = {
+            name: read_endpoint_list({"generation": 1, "reset": True, "instances": rows})
             for name, rows in orders.known.items()
         }
         self.told: list[tuple[int, int, int]] = []
@@ -190,7 +190,7 @@
             seed=seed,
             bounds=BOUNDS,
             known=self.known[sidecar.service],
-            settings=settings_from(document),
+            settings=read_settings(document),
         )
 
     def start(self, number: int) -> None:
--- a/fleet/microbench.py
+++ b/emulator/microbench.py
@@ -9,15 +9,15 @@
 from statistics import median
 from typing import Any, NamedTuple
 
-from eiderhub.balancer import Balancer
-from eiderhub.interface import Endpoint, ListForm, Outcome, Readiness
-from eiderhub.settings import settings_from
-from eiderhub.sidecar.bounds import Bounds
-from eiderhub.sidecar.clock import now_us
-from eiderhub.sidecar.config import Address, Config
-from eiderhub.sidecar.discovery import Listing, read_listing
-from eiderhub.sidecar.host import Host
-from fleet.sidecar import SETTINGS, entry, listing
+from corkdoor.balancer import Balancer
+from corkdoor.model import Endpoint, Outcome, Readiness, Timer, WatchEventKind
+from corkdoor.settings_reader import read_settings
+from corkdoor.sidecar.bounds import Bounds
+from corkdoor.sidecar.clock import now_us
+from corkdoor.sidecar.config import Address, Config
+from corkdoor.sidecar.discovery import EndpointList, read_endpoint_list
+from corkdoor.sidecar.proxy import Proxy
+from emulator.sidecar import SETTINGS, entry, listing
 
 GAP_US = 8_333  # between calls: 120 a second
 SPENT_US = 2_000  # what an attempt takes
@@ -30,16 +30,16 @@
     def __init__(self) -> None:
         self.sent: tuple[str, str] | None = None
 
-    def hand_off(self, call: str, endpoint: str, max_wait_us: int) -> None:
-        self.sent = (call, endpoint)
+    def send_attempt(self, request_id: str, endpoint_id: str, max_wait_us: int) -> None:
+        self.sent = (request_id, endpoint_id)
 
-    def cancel(self, call: str, attempt: int) -> None: ...
-    def shed(self, call: str, wait_us: int) -> None: ...
-    def surrender(self, call: str) -> None: ...
-    def timer(self, delay_us: int, mark: str) -> None: ...
-    def tail(self, on: bool) -> None: ...
-    def disconnect(self, endpoint: str) -> None: ...
-    def write_log(self, text: str) -> None: ...
+    def cancel_attempt(self, request_id: str, attempt: int) -> None: ...
+    def reject_request(self, request_id: str, retry_after_us: int) -> None: ...
+    def fail_request(self, request_id: str) -> None: ...
+    def start_timer(self, delay_us: int, timer: Timer) -> None: ...
+    def watch_discovery(self, enabled: bool) -> None: ...
+    def close_idle_connections(self, endpoint_id: str) -> None: ...
+    def log_event(self, event: str, /, **fields: object) -> None: ...
 
 
 class CallCost(NamedTuple):
@@ -67,23 +67,23 @@
 
     def __init__(self, endpoints: int, balancers: int) -> None:
         self.host = NullHost()
-        self.balancer = Balancer(settings_from({**SETTINGS, "Balancers": balancers}), 7, self.host)
+        self.balancer = Balancer(read_settings({**SETTINGS, "Balancers": balancers}), 7, self.host)
         self.now = 1_000_000_000
         self.serial = 0
         self.balancer.start(self.now)
         rows = [Endpoint(f"s-{i:08x}", "z0", "m", 0, Readiness.READY) for i in range(endpoints)]
-        self.balancer.discovery(self.now, ListForm.FULL, rows)
+        self.balancer.on_watch_event(self.now, WatchEventKind.FULL, rows)
 
     def call(self) -> None:
         """Take one call, send it, and hear its answer. RuntimeError: the module didn't send it."""
         self.now += GAP_US
         self.serial += 1
         self.host.sent = None
-        self.balancer.order(self.now, f"{self.serial:016x}", "look", None, DEADLINE_US, None)
+        self.balancer.on_request(self.now, f"{self.serial:016x}", "look", None, DEADLINE_US, None)
         if self.host.sent is None:
             raise RuntimeError("the module sent nothing")
         call, endpoint = self.host.sent
-        self.balancer.reply(self.now + SPENT_US, call, 0, endpoint, SPENT_US, True, Outcome.OK)
+        self.balancer.on_attempt_end(self.now + SPENT_US, call, 0, endpoint, SPENT_US, True, Outcome.OK)
 
     def measure(self, rounds: int = 9, size: int = 500) -> CallCost:
         for _ in range(size):
@@ -123,32 +123,32 @@
     def __init__(self, endpoints: int) -> None:
         self.rows = rows_of(endpoints)
         nowhere = Address("127.0.0.1", 1)
-        known = read_listing(json.loads(body_of(1, True, self.rows)))
-        settings = settings_from(SETTINGS)
-        self.host = Host(Config("n0", nowhere, nowhere, 7, Bounds(500, 400, 1 << 24), known, settings))
+        known = read_endpoint_list(json.loads(body_of(1, True, self.rows)))
+        settings = read_settings(SETTINGS)
+        self.host = Proxy(Config("n0", nowhere, nowhere, 7, Bounds(500, 400, 1 << 24), known, settings))
         self.host.balancer.start(now_us())
-        self.host.on_list(ListForm.CACHED, known.entries)
+        self.host.on_list(WatchEventKind.CACHED, known.entries)
 
     def whole(self) -> ListCost:
-        return self._cost([body_of(2, True, self.rows)] * 2, ListForm.FULL)
+        return self._cost([body_of(2, True, self.rows)] * 2, WatchEventKind.FULL)
 
     def delta(self) -> ListCost:
         """A change of one endpoint, to draining and back."""
         bodies = [
             body_of(2, False, [{**self.rows[0], "lifecycle": state}]) for state in ("draining", "ready")
         ]
-        return self._cost(bodies, ListForm.DELTA)
+        return self._cost(bodies, WatchEventKind.DELTA)
 
     def renewal(self) -> ListCost:
         """A watch that was answered with no entries."""
-        return self._cost([body_of(2, False, [])] * 2, ListForm.DELTA)
+        return self._cost([body_of(2, False, [])] * 2, WatchEventKind.DELTA)
 
-    def _cost(self, bodies: list[bytes], form: ListForm, rounds: int = 5, size: int = 10) -> ListCost:
-        lists: list[Listing] = [read_listing(json.loads(body)) for body in bodies]
+    def _cost(self, bodies: list[bytes], form: WatchEventKind, rounds: int = 5, size: int = 10) -> ListCost:
+        lists: list[EndpointList] = [read_endpoint_list(json.loads(body)) for body in bodies]
         place = 0
 
         def parse() -> None:
-            read_listing(json.loads(bodies[0]))
+            read_endpoint_list(json.loads(bodies[0]))
 
         def take() -> None:
             nonlocal place
--- a/fleet/run.py
+++ b/emulator/run.py
@@ -26,9 +26,9 @@
 from rich.progress import BarColumn, Progress, TaskID, TextColumn
 from rich.table import Table
 
-from fleet.discovery import DiscoveryServer, Registry
-from fleet.hollow import Command, Orders, Sample
-from fleet.scenario import (
+from emulator.discovery import DiscoveryServer, Registry
+from emulator.hollow import Command, Orders, Sample
+from emulator.scenario import (
     MOST_HOLLOW,
     ChangeList,
     Down,
@@ -171,7 +171,7 @@
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "fleet.hollow",
+            "emulator.hollow",
             str(path),
             stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE,
@@ -231,7 +231,7 @@
         with (folder / f"{document['name']}.log").open("wb") as log:
             return cls(
                 subprocess.Popen(
-                    [sys.executable, "-B", "-m", "eiderhub.sidecar"],
+                    [sys.executable, "-B", "-m", "corkdoor.sidecar"],
                     env={**environ, "GW_CONFIG": str(path)},
                     stderr=log,
                 )
@@ -638,7 +638,7 @@
     return {
         "taken": datetime.now(UTC).strftime("%Y-%m-%dT%H:%M:%SZ"),
         "commit": git("rev-parse", "--short", "HEAD"),
-        "changed": bool(git("status", "--porcelain", "--untracked-files=no", "--", "eiderhub", "fleet")),
+        "changed": bool(git("status", "--porcelain", "--untracked-files=no", "--", "corkdoor", "emulator")),
     }
 
 
--- a/fleet/scenario.py
+++ b/emulator/scenario.py
@@ -17,7 +17,7 @@
 import numpy as np
 from msgspec import Meta
 
-from fleet.discovery import Cost, Row
+from emulator.discovery import Cost, Row
 
 T = TypeVar("T")
 Share = Annotated[float, Meta(gt=0, le=1)]
--- a/fleet/sidecar.py
+++ b/emulator/sidecar.py
@@ -12,9 +12,9 @@
 from pathlib import Path
 from typing import Any, NamedTuple, Self
 
-from fleet.worker import ROOT
+from emulator.worker import ROOT
 
-VARIABLE = "FLEET_BREAKDOWN"  # names the file of `fleet.breakdown`
+VARIABLE = "EMULATOR_BREAKDOWN"  # names the file of `emulator.breakdown`
 READY_S = 10.0  # a sidecar that doesn't answer `/up` by then has failed
 POLL_S = 0.02
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
@@ -129,7 +129,7 @@
         self,
         endpoints: dict[str, str],
         discovery: str = "127.0.0.1:1",
-        module: str = "eiderhub.sidecar",
+        module: str = "corkdoor.sidecar",
         **settings: Any,
     ) -> None:
         self.port = free_port()
@@ -192,7 +192,7 @@
         return runtime_s(self.pid)
 
     async def breakdown(self) -> dict[str, Any]:
-        """The figures of `fleet.breakdown`, where that is the module that runs. TimeoutError: none came."""
+        """The figures of `emulator.breakdown`, where that module runs. TimeoutError: none came."""
         self.figures.unlink(missing_ok=True)
         self.process.send_signal(signal.SIGUSR1)
         async with asyncio.timeout(READY_S):
--- a/fleet/slopes.py
+++ b/emulator/slopes.py
@@ -1,4 +1,4 @@
-"""`python -m fleet slopes`: what a sidecar spends by call, endpoint, connection and change of its list.
+"""`python -m emulator slopes`: what a sidecar spends by call, endpoint, connection and change of its list.
 
 Each measurement is taken at four sizes or more, kept as one JSON line in `records/slopes-*.jsonl`, and a line
 is fitted through those that held their rate.
@@ -23,11 +23,11 @@
 from rich.console import Console
 from rich.table import Table
 
-from fleet import clients, endpoint
-from fleet.fit import LEAST_POINTS, fit
-from fleet.microbench import ListBench, ModuleBench, body_of, rows_of
-from fleet.sidecar import Sidecar
-from fleet.worker import ROOT, Worker
+from emulator import clients, endpoint
+from emulator.fit import LEAST_POINTS, fit
+from emulator.microbench import ListBench, ModuleBench, body_of, rows_of
+from emulator.sidecar import Sidecar
+from emulator.worker import ROOT, Worker
 
 LIST_SIZES = (36, 250, 500, 1000, 2000)
 RATES = (30.0, 60.0, 120.0, 240.0)
@@ -68,7 +68,7 @@
 @asynccontextmanager
 async def endpoints(count: int, **kind: Any) -> AsyncIterator[tuple[Worker, dict[str, str]]]:
     """So many stand-in endpoints in a process of their own, and their addresses by name."""
-    async with Worker("fleet.endpoint") as worker:
+    async with Worker("emulator.endpoint") as worker:
         answer = await worker.ask(endpoint.Open("s", count, endpoint.Kind(**kind)))
         yield worker, answer["addresses"]
 
@@ -123,7 +123,7 @@
 
 @asynccontextmanager
 async def rig(
-    count: int, settle_s: float, module: str = "eiderhub.sidecar"
+    count: int, settle_s: float, module: str = "corkdoor.sidecar"
 ) -> AsyncIterator[tuple[Sidecar, dict[str, str]]]:
     """A sidecar on so many endpoints, with a watch that stays open; settled."""
     async with endpoints(count) as (_, names), Feeder() as feeder:
@@ -246,7 +246,7 @@
         clients.Target("via", [sidecar.address], rate),
         clients.Target("direct", list(names.values()), rate),
     ]
-    async with Worker("fleet.clients") as worker:
+    async with Worker("emulator.clients") as worker:
         before = sidecar.runtime_s()
         result = await worker.ask(
             clients.Job(targets, seconds, seed, warm_s=min(1.0, seconds / 4)), seconds + 20
@@ -297,7 +297,7 @@
 async def breakdown(scale: Scale) -> AsyncIterator[Point]:
     """Where the time of a call goes at 30, 120 and 960 calls a second: microseconds a call by step."""
     for rate in (30.0, TARGET_RATE, 960.0):
-        async with rig(36, scale.settle_s, "fleet.breakdown") as (sidecar, names):
+        async with rig(36, scale.settle_s, "emulator.breakdown") as (sidecar, names):
             before = await sidecar.breakdown()
             result, _ = await played(sidecar, names, rate, scale.seconds, int(rate))
             yield _steps(before, await sidecar.breakdown(), result, rate)
--- a/fleet/worker.py
+++ b/emulator/worker.py
@@ -18,7 +18,7 @@
 
 
 class Worker:
-    """Runs a module such as `fleet.endpoint`; ends with its input when the context is left."""
+    """Runs a module such as `emulator.endpoint`; ends with its input when the context is left."""
 
     def __init__(self, module: str) -> None:
         self.module = module
--- a/tests/sidecar_support.py
+++ b/tests/sidecar_support.py
@@ -16,12 +16,12 @@
 
 import uvloop
 
-from eiderhub.settings import settings_from
-from eiderhub.sidecar.bounds import Bounds
-from eiderhub.sidecar.config import Address, Config
-from eiderhub.sidecar.discovery import read_listing
-from eiderhub.sidecar.host import Host
-from eiderhub.sidecar.server import Server
+from corkdoor.settings_reader import read_settings
+from corkdoor.sidecar.bounds import Bounds
+from corkdoor.sidecar.config import Address, Config
+from corkdoor.sidecar.discovery import read_endpoint_list
+from corkdoor.sidecar.proxy import Proxy
+from corkdoor.sidecar.server import Server
 
 PATIENCE_S = 10.0  # a test that waits longer for an event has failed
 
@@ -171,7 +171,7 @@
 
     def send(
         self,
-        grade: str = "pay",
+        class_name: str = "pay",
         deadline_ms: int = 2500,
         body: bytes = b"x",
         request_id: str = "",
@@ -184,20 +184,20 @@
             "Req-Owner": "acme",
             "Req-Deadline-Ms": str(deadline_ms),
         }
-        if grade == "hold":
+        if class_name == "hold":
             headers["Idempotency-Key"] = "k1"
-        if grade != "look":
+        if class_name != "look":
             headers["Content-Length"] = str(len(body))
         headers.update({name.replace("_", "-"): value for name, value in changes.items()})
-        lines = [f"{'GET' if grade == 'look' else 'POST'} /{grade}/a?b=1 HTTP/1.1"]
+        lines = [f"{'GET' if class_name == 'look' else 'POST'} /{class_name}/a?b=1 HTTP/1.1"]
         lines += [f"{name}: {value}" for name, value in headers.items() if value]
-        self.writer.write("\r\n".join(lines).encode() + b"\r\n\r\n" + (body if grade != "look" else b""))
+        self.writer.write("\r\n".join(lines).encode() + b"\r\n\r\n" + (body if class_name != "look" else b""))
 
     async def answer(self) -> Message:
         return await read_message(self.reader)
 
-    async def ask(self, grade: str = "pay", **values: Any) -> Message:
-        self.send(grade, **values)
+    async def ask(self, class_name: str = "pay", **values: Any) -> Message:
+        self.send(class_name, **values)
         return await self.answer()
 
 
@@ -207,13 +207,13 @@
     def __init__(
         self,
         endpoints: int = 1,
-        callers: int = 500,
+        clients: int = 500,
         upstream: int = 400,
         held: int = 1 << 24,
         **settings: Any,
     ) -> None:
         self.count = endpoints
-        self.bounds = Bounds(callers, upstream, held)
+        self.bounds = Bounds(clients, upstream, held)
         self.setup = {**SETUP, **settings}
 
     async def __aenter__(self) -> Sidecar:
@@ -227,21 +227,21 @@
             discovery=Address(host, int(port)),
             seed=7,
             bounds=self.bounds,
-            known=read_listing(json.loads(listing(1, True, *rows))),
-            settings=settings_from(self.setup),
+            known=read_endpoint_list(json.loads(listing(1, True, *rows))),
+            settings=read_settings(self.setup),
         )
-        self.host = Host(self.config)
-        self.sweep = asyncio.create_task(self.host.upstream.sweep())
-        self.server = Server(self.host, self.bounds.callers)
-        self.watch = asyncio.create_task(self.server.watch_callers())
+        self.proxy = Proxy(self.config)
+        self.sweep = asyncio.create_task(self.proxy.upstream.sweep())
+        self.server = Server(self.proxy, self.bounds.clients)
+        self.watch = asyncio.create_task(self.server.watch_clients())
         self.server.bind("127.0.0.1", 0)
-        self.host.start()
+        self.proxy.start()
         self.server.listener.start()
         self.port = self.server.listener.port
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        self.host.tail(False)
+        self.proxy.watch_discovery(False)
         self.sweep.cancel()
         self.watch.cancel()
         self.server.listener.close()
@@ -259,17 +259,17 @@
     path.write_text(json.dumps(document), encoding="utf-8")
     environ = {k: v for k, v in os.environ.items() if not k.startswith("GW_")}
     return subprocess.Popen(
-        [sys.executable, "-m", "eiderhub.sidecar"],
+        [sys.executable, "-m", "corkdoor.sidecar"],
         env={**environ, "GW_CONFIG": str(path), **variables},
         stderr=subprocess.PIPE,
         text=True,
     )
 
 
-async def one_attempt(sidecar: Sidecar, grade: str = "pay") -> tuple[Asked, Client]:
+async def one_attempt(sidecar: Sidecar, class_name: str = "pay") -> tuple[Asked, Client]:
     """Send one request and return the endpoint's side of it, wherever it went, and the client."""
     client = await sidecar.client()
-    client.send(grade)
+    client.send(class_name)
     return await first_asked(sidecar), client
 
 
--- a/tests/support.py
+++ b/tests/support.py
@@ -6,39 +6,38 @@
 from dataclasses import replace
 from typing import Any
 
-from eiderhub.balancer import Balancer
-from eiderhub.interface import (
-    Effect,
+from corkdoor.balancer import Balancer
+from corkdoor.load_report import LoadReport
+from corkdoor.model import (
+    DeduplicationScope,
     Endpoint,
-    Group,
-    Limits,
-    ListForm,
-    LoadReport,
+    Idempotency,
     Outcome,
     Readiness,
-    RequestClass,
-    Rules,
-    Settings,
-    Tenant,
+    Timer,
+    WatchEventKind,
 )
+from corkdoor.settings import LifecycleRules, Limits, RequestClass, Settings, Tenant
 
 MS = 1000
 S = 1_000_000
 
-SAFE = RequestClass("look", 1 * S, 3 * S, Effect.IDEMPOTENT)
-KEYED = RequestClass("hold", 1 * S, 3 * S, Effect.DEDUPLICATED, Group.CELL, 2 * S)
-UNSAFE = RequestClass("pay", 2 * S, 5 * S, Effect.AT_MOST_ONCE)
+SAFE = RequestClass("look", 1 * S, 3 * S, Idempotency.IDEMPOTENT)
+KEYED = RequestClass("hold", 1 * S, 3 * S, Idempotency.WITH_KEY, DeduplicationScope.CELL, 2 * S)
+UNSAFE = RequestClass("pay", 2 * S, 5 * S, Idempotency.NOT_IDEMPOTENT)
 
 
 def settings(**changes: Any) -> Settings:
     base = Settings(
         classes=(SAFE, KEYED, UNSAFE),
-        balancers=4,
+        instance_count=4,
         zone="east",
         tenants=(Tenant("big", 0.6, 60.0), Tenant("small", 0.4, 40.0)),
-        over_share_worth=0.1,
-        limits=Limits(max_attempts=4, retry_after=True, second_copies=True, may_cancel=True),
-        rules=Rules(cold_us=10 * S, cold_from=0.2, overload_factor=2.5),
+        over_quota_weight=0.1,
+        limits=Limits(
+            max_attempts=4, retry_after_allowed=True, hedging_allowed=True, cancellation_allowed=True
+        ),
+        lifecycle=LifecycleRules(slow_start_us=10 * S, slow_start_initial_share=0.2, overload_factor=2.5),
     )
     return replace(base, **changes)
 
@@ -50,6 +49,10 @@
     ]
 
 
+def _due(timer: tuple[int, Timer]) -> tuple[int, str]:
+    return timer[0], timer[1].value
+
+
 class Host:
     """Records actions as tuples; `advance` delivers due timers."""
 
@@ -62,47 +65,47 @@
     ) -> None:
         self.now = now
         self.did: list[tuple[Any, ...]] = []
-        self.timers: list[tuple[int, str]] = []
+        self.timers: list[tuple[int, Timer]] = []
         self.sent: dict[str, list[str]] = {}
         self.serial = 0
         self.balancer = Balancer(chosen or settings(), seed, self)
         self.balancer.start(now)
-        self.balancer.discovery(now, ListForm.CACHED, list(entries))
+        self.balancer.on_watch_event(now, WatchEventKind.CACHED, list(entries))
 
     # actions
-    def hand_off(self, call: str, endpoint: str, max_wait_us: int) -> None:
-        self.did.append(("hand_off", call, endpoint, max_wait_us))
-        self.sent.setdefault(call, []).append(endpoint)
+    def send_attempt(self, request_id: str, endpoint_id: str, max_wait_us: int) -> None:
+        self.did.append(("send_attempt", request_id, endpoint_id, max_wait_us))
+        self.sent.setdefault(request_id, []).append(endpoint_id)
 
-    def cancel(self, call: str, attempt: int) -> None:
-        self.did.append(("cancel", call, attempt))
+    def cancel_attempt(self, request_id: str, attempt: int) -> None:
+        self.did.append(("cancel_attempt", request_id, attempt))
 
-    def shed(self, call: str, wait_us: int) -> None:
-        self.did.append(("shed", call, wait_us))
+    def reject_request(self, request_id: str, retry_after_us: int) -> None:
+        self.did.append(("reject_request", request_id, retry_after_us))
 
-    def surrender(self, call: str) -> None:
-        self.did.append(("surrender", call))
+    def fail_request(self, request_id: str) -> None:
+        self.did.append(("fail_request", request_id))
 
-    def timer(self, delay_us: int, mark: str) -> None:
-        self.timers.append((self.now + delay_us, mark))
+    def start_timer(self, delay_us: int, timer: Timer) -> None:
+        self.timers.append((self.now + delay_us, timer))
 
-    def tail(self, on: bool) -> None:
-        self.did.append(("tail", on))
+    def watch_discovery(self, enabled: bool) -> None:
+        self.did.append(("watch_discovery", enabled))
 
-    def disconnect(self, endpoint: str) -> None:
-        self.did.append(("disconnect", endpoint))
+    def close_idle_connections(self, endpoint_id: str) -> None:
+        self.did.append(("close_idle_connections", endpoint_id))
 
-    def write_log(self, text: str) -> None:
-        self.did.append(("write_log", text))
+    def log_event(self, event: str, /, **fields: object) -> None:
+        self.did.append(("log_event", event, fields))
 
     # driving
-    def order(self, grade: str = "look", tenant: str = "small", left: int = 3 * S) -> str:
+    def submit(self, class_name: str = "look", tenant: str = "small", left: int = 3 * S) -> str:
         self.serial += 1
         call = f"{self.serial:016x}"
-        self.balancer.order(self.now, call, grade, tenant, left, None)
+        self.balancer.on_request(self.now, call, class_name, tenant, left, None)
         return call
 
-    def reply(
+    def end_attempt(
         self,
         call: str,
         outcome: Outcome,
@@ -113,24 +116,26 @@
     ) -> None:
         number = attempt if attempt >= 0 else len(self.sent[call]) - 1
         done = outcome is Outcome.OK if closed is None else closed
-        self.balancer.reply(self.now, call, number, self.sent[call][number], spent, done, outcome, load)
+        self.balancer.on_attempt_end(
+            self.now, call, number, self.sent[call][number], spent, done, outcome, load
+        )
 
     def answer_all(self, spent: int = 100 * MS) -> None:
         """Serve the calls that are out."""
-        for call in [c for c in self.sent if c in self.balancer.calls]:
-            self.reply(call, Outcome.OK, spent=spent)
+        for call in [c for c in self.sent if c in self.balancer.requests]:
+            self.end_attempt(call, Outcome.OK, spent=spent)
 
     def advance(self, by: int) -> None:
         end = self.now + by
-        while self.timers and min(self.timers)[0] <= end:
-            due = min(self.timers)
+        while self.timers and min(self.timers, key=_due)[0] <= end:
+            due = min(self.timers, key=_due)
             self.timers.remove(due)
             self.now = max(self.now, due[0])
-            self.balancer.wake(self.now, due[1])
+            self.balancer.on_timer(self.now, due[1])
         self.now = end
 
     def answers(self, call: str) -> list[str]:
-        return [d[0] for d in self.did if d[0] in ("shed", "surrender") and d[1] == call]
+        return [d[0] for d in self.did if d[0] in ("reject_request", "fail_request") and d[1] == call]
 
     def sends(self, call: str | None = None) -> list[tuple[Any, ...]]:
-        return [d for d in self.did if d[0] == "hand_off" and (call is None or d[1] == call)]
+        return [d for d in self.did if d[0] == "send_attempt" and (call is None or d[1] == call)]
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -7,12 +7,12 @@
 
 import pytest
 
-from eiderhub.settings import settings_from
+from corkdoor.settings_reader import read_settings
 from tests.sidecar_support import SETUP, started
 
 
 def test_an_inner_tier_starts_where_the_names_of_tiers_are_left_out() -> None:
-    assert settings_from({**SETUP, "Tiers": None, "Layer": 2}).layer == 2
+    assert read_settings({**SETUP, "Tiers": None, "Layer": 2}).layer == 2
 
 
 @pytest.mark.parametrize(
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from eiderhub.sidecar import server
-from eiderhub.sidecar.clock import now_us
+from corkdoor.sidecar import server
+from corkdoor.sidecar.clock import now_us
 from tests.sidecar_support import Client, Sidecar, program, ready, run
 
 
@@ -24,8 +24,8 @@
             await sidecar.endpoints[0].next()
             client.writer.close()
             assert await sidecar.endpoints[0].ends.get() == 0
-            assert not sidecar.host.requests
-            assert not sidecar.host.balancer.calls
+            assert not sidecar.proxy.requests
+            assert not sidecar.proxy.balancer.requests
 
     run(test())
 
@@ -89,9 +89,9 @@
             client.writer.write(raw.encode("latin-1"))
             assert (await client.answer()).status == status
             assert await client.reader.read() == b""
-            assert sidecar.host.serial == 0
+            assert sidecar.proxy.serial == 0
             assert sidecar.endpoints[0].connections == 0
-            assert sidecar.host.budget.held == 0
+            assert sidecar.proxy.budget.held == 0
 
     run(test())
 
@@ -127,8 +127,8 @@
             assert (await client.answer()).status == 400
             assert await client.reader.read() == b""
             assert await sidecar.endpoints[0].ends.get() == 0  # its attempt is given up
-            assert not sidecar.host.requests
-            assert not sidecar.host.balancer.calls
+            assert not sidecar.proxy.requests
+            assert not sidecar.proxy.balancer.requests
 
     run(test())
 
@@ -143,8 +143,8 @@
         monkeypatch.setattr(server, "FIRST_S", 0.1)
         monkeypatch.setattr(server, "CHECK_S", 0.02)
         async with Sidecar() as sidecar:
-            asking = await sidecar.client()
-            asking.send(deadline_ms=3_000_000)
+            discovery = await sidecar.client()
+            discovery.send(deadline_ms=3_000_000)
             asked = await sidecar.endpoints[0].next()
             client = await sidecar.client()
             client.writer.write(sent.encode())
@@ -152,11 +152,11 @@
                 assert (await client.answer()).status == 408
             await client.reader.read()  # a close, with the parser's own word before it or without
             client.writer.close()
-            while len(sidecar.server.callers) > 1:
+            while len(sidecar.server.clients) > 1:
                 await asyncio.sleep(0.01)
-            assert sidecar.host.budget.held == len(b"x")
+            assert sidecar.proxy.budget.held == len(b"x")
             asked.reply()
-            assert (await asking.answer()).status == 200  # one that waits for its answer is not idle
+            assert (await discovery.answer()).status == 200  # one that waits for its answer is not idle
 
     run(test())
 
@@ -171,7 +171,7 @@
             client = await sidecar.client()
             assert await ready(client) == 200
             assert await client.reader.read() == b""
-            assert not sidecar.server.callers
+            assert not sidecar.server.clients
 
     run(test())
 
@@ -180,7 +180,7 @@
     """Seen in the code: the one connected longest was closed, and that is likely a good one."""
 
     async def test() -> None:
-        async with Sidecar(callers=3) as sidecar:
+        async with Sidecar(clients=3) as sidecar:
             good = await sidecar.client()
             assert await ready(good) == 200
             silent, younger = await sidecar.client(), await sidecar.client()
@@ -210,7 +210,7 @@
 
     async def test() -> None:
         monkeypatch.setattr(server, "SPARE_S", 0.0)
-        async with Sidecar(callers=2) as sidecar:
+        async with Sidecar(clients=2) as sidecar:
             with socket.create_connection(("127.0.0.1", sidecar.port)) as first:
                 if asked_before:
                     first.sendall(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -221,7 +221,7 @@
                     assert await ready(other) == 200
                 joined = sidecar.server.joined
 
-                def at_that_moment(caller: server.CallerConnection) -> None:
+                def at_that_moment(caller: server.ClientConnection) -> None:
                     first.sendall(f"{HEAD}Content-Length: 1\r\n\r\nx".encode())
                     joined(caller)
 
@@ -245,13 +245,13 @@
             second.send(body=b"x" * 700)
             answer = await second.answer()
             assert (answer.status, answer.headers["retry-after"]) == (503, "1")
-            assert sidecar.host.serial == 1
+            assert sidecar.proxy.serial == 1
             asked.reply()
             assert (await first.answer()).status == 200
             first.send(body=b"x" * 700)
             (await sidecar.endpoints[0].next()).reply()
             assert (await first.answer()).status == 200
-            assert sidecar.host.budget.held == 0
+            assert sidecar.proxy.budget.held == 0
 
     run(test())
 
@@ -266,7 +266,7 @@
             await sidecar.endpoints[0].next()
             client.send("pay", body=b"x" * 700)
             assert (await client.answer()).status == 500
-            assert sidecar.host.serial == 1
+            assert sidecar.proxy.serial == 1
 
     run(test())
 
@@ -288,14 +288,14 @@
                     (await asyncio.wait_for(endpoint.next(), 0.3)).reply(200, b"x" * 65_000)
                     served += 1
             assert served < 400
-            while sidecar.server.callers:
+            while sidecar.server.clients:
                 await asyncio.sleep(0.01)
 
     run(test())
 
 
 @pytest.mark.parametrize(
-    ("grade", "changes", "status"),
+    ("class_name", "changes", "status"),
     [
         ("pay", {"Req_Id": ""}, 400),
         ("pay", {"Req_Id": "a b"}, 400),
@@ -310,12 +310,14 @@
         ("hold", {"Idempotency_Key": ""}, 400),
     ],
 )
-def test_bad_headers_are_answered_and_reach_nobody(grade: str, changes: dict[str, str], status: int) -> None:
+def test_bad_headers_are_answered_and_reach_nobody(
+    class_name: str, changes: dict[str, str], status: int
+) -> None:
     async def test() -> None:
         async with Sidecar() as sidecar:
             client = await sidecar.client()
-            assert (await client.ask(grade, **changes)).status == status
-            assert sidecar.host.serial == 0
+            assert (await client.ask(class_name, **changes)).status == status
+            assert sidecar.proxy.serial == 0
             assert sidecar.endpoints[0].connections == 0
 
     run(test())
@@ -329,7 +331,7 @@
                 b"GET /pay HTTP/1.1\r\nReq-Id: 1\r\nReq-Owner: acme\r\nReq-Deadline-Ms: 9\r\n\r\n"
             )
             assert (await client.answer()).status == 405
-            assert sidecar.host.serial == 0
+            assert sidecar.proxy.serial == 0
 
     run(test())
 
@@ -381,7 +383,7 @@
             client = await sidecar.client()
             client.send(Connection="close")
             asked = await sidecar.endpoints[0].next()
-            (caller,) = sidecar.server.callers
+            (caller,) = sidecar.server.clients
             caller.since_us -= 60_000_000
             asked.reply(200, b"x" * 60_000)
             answer = await client.answer()
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -33,7 +33,7 @@
 
 async def calls_by_endpoint(sidecar: Sidecar, *news: bytes) -> Counter[str]:
     """Let discovery tell this, one answer after the other, and count where the calls after it go."""
-    heard = sidecar.host.balancer.endpoints
+    heard = sidecar.proxy.balancer.endpoints
     for answer in news:
         (await sidecar.discovery.next()).reply(200, answer)
     await sidecar.discovery.next()  # the next watch: all news has been taken in
@@ -78,8 +78,8 @@
             ahead = {**last, "startedAtMs": time.time_ns() // 1_000_000 + HOUR_MS}
             news = (listing(2, True, *others), listing(3, False, ahead))
             await calls_by_endpoint(sidecar, *news)
-            told = sidecar.host.balancer.endpoints["s-5"]
-            while sidecar.host.balancer.warmth(time.monotonic_ns() // 1000, told) < 1.0:
+            told = sidecar.proxy.balancer.endpoints["s-5"]
+            while sidecar.proxy.balancer.warmth(time.monotonic_ns() // 1000, told) < 1.0:
                 await asyncio.sleep(0.05)
 
     run(test(), 8.0)
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -12,8 +12,9 @@
 
 import pytest
 
-from eiderhub.balancer import Balancer
-from eiderhub.interface import Endpoint, ListForm, Outcome, Readiness, Rules, Settings
+from corkdoor.balancer import Balancer
+from corkdoor.model import Endpoint, Outcome, Readiness, Timer, WatchEventKind
+from corkdoor.settings import LifecycleRules, Settings
 from tests.support import MS, SAFE, Host, S, settings
 
 COPIES = 30
@@ -25,10 +26,10 @@
 LOAD = 0.6  # of the capacity of all endpoints, before the burst
 BURST = 3.0
 WINDOW_US = int(1.5 * S)  # an endpoint falls by what it got in so long: `FallUs` of the settings
-RULES = Rules(cold_us=9 * S, cold_from=0.33, overload_factor=2.5)
+RULES = LifecycleRules(slow_start_us=9 * S, slow_start_initial_share=0.33, overload_factor=2.5)
 BEGIN = 1_000_000_000
 EVENT = BEGIN + 4 * S  # when endpoints join, or return
-END = EVENT + RULES.cold_us
+END = EVENT + RULES.slow_start_us
 AWAY_US = int(1.5 * S)  # how long a zone is lost
 
 
@@ -45,10 +46,13 @@
 
     def warmth(self, now: int) -> float:
         """The part of its capacity that it has: it grows evenly."""
-        age = now - self.entry.launched_us
-        if not self.entry.launched_us or age >= RULES.cold_us:
+        age = now - self.entry.started_us
+        if not self.entry.started_us or age >= RULES.slow_start_us:
             return 1.0
-        return RULES.cold_from + (1 - RULES.cold_from) * max(0, age) / RULES.cold_us
+        return (
+            RULES.slow_start_initial_share
+            + (1 - RULES.slow_start_initial_share) * max(0, age) / RULES.slow_start_us
+        )
 
     def take(self, end: Callable[[Outcome], None]) -> None:
         world = self.world
@@ -57,7 +61,7 @@
             return
         self.got.append(world.now)
         if len(self.waiting) >= ROOM:
-            world.after(2 * MS, partial(end, Outcome.FULL))
+            world.after(2 * MS, partial(end, Outcome.REJECTED))
             return
         self.waiting.append(end)
         self._begin()
@@ -77,7 +81,7 @@
     def start(self) -> None:
         self.up = True
         self.got = []
-        self.entry = self.entry._replace(launched_us=self.world.now, readiness=Readiness.READY)
+        self.entry = self.entry._replace(started_us=self.world.now, readiness=Readiness.READY)
 
     def worst(self) -> float:
         """The most that it got in any window while cold, as a part of what it may get then."""
@@ -86,7 +90,7 @@
             while self.got[first] <= at - WINDOW_US:
                 first += 1
             # The capacity that it had as the window began: the least in it.
-            begun = max(self.got[first], self.entry.launched_us)
+            begun = max(self.got[first], self.entry.started_us)
             if self.warmth(begun) < 1.0:
                 budget = self.world.factor * PER_S * self.warmth(begun) * WINDOW_US / S
                 most = max(most, (last - first + 1) / (budget + 2 * math.sqrt(budget) + 2))
@@ -101,47 +105,47 @@
         self.open: set[str] = set()
         super().__init__(chosen, entries, seed=seed, now=world.now)
 
-    def hand_off(self, call: str, endpoint: str, max_wait_us: int) -> None:
-        sent = self.sent.setdefault(call, [])
-        sent.append(endpoint)
+    def send_attempt(self, request_id: str, endpoint_id: str, max_wait_us: int) -> None:
+        sent = self.sent.setdefault(request_id, [])
+        sent.append(endpoint_id)
         # Later: no outcome reaches the module within its own call.
-        take = self.world.servers[endpoint].take
-        self.world.after(0, partial(take, partial(self.ended, call, len(sent) - 1, self.world.now)))
+        take = self.world.servers[endpoint_id].take
+        self.world.after(0, partial(take, partial(self.ended, request_id, len(sent) - 1, self.world.now)))
 
     def ended(self, call: str, attempt: int, sent_at: int, outcome: Outcome) -> None:
         self.now = self.world.now
         if outcome is Outcome.OK:
             self.open.discard(call)
-        self.reply(call, outcome, self.now - sent_at, attempt, closed=call not in self.open)
+        self.end_attempt(call, outcome, self.now - sent_at, attempt, closed=call not in self.open)
 
-    def timer(self, delay_us: int, mark: str) -> None:
-        self.world.after(delay_us, partial(self.wake, mark))
+    def start_timer(self, delay_us: int, timer: Timer) -> None:
+        self.world.after(delay_us, partial(self.wake, timer))
 
-    def wake(self, mark: str) -> None:
+    def wake(self, timer: Timer) -> None:
         self.now = self.world.now
-        self.balancer.wake(self.now, mark)
+        self.balancer.on_timer(self.now, timer)
 
-    def shed(self, call: str, wait_us: int) -> None:
-        self.open.discard(call)
+    def reject_request(self, request_id: str, retry_after_us: int) -> None:
+        self.open.discard(request_id)
 
-    def surrender(self, call: str) -> None:
-        self.open.discard(call)
+    def fail_request(self, request_id: str) -> None:
+        self.open.discard(request_id)
 
     def arrive(self) -> None:
         self.now = self.world.now
         self.open.add(f"{self.serial + 1:016x}")
-        call = self.order()
+        call = self.submit()
         self.world.after(3 * S, partial(self.quit, call))
 
     def quit(self, call: str) -> None:
         if call in self.open:
             self.now = self.world.now
             self.open.discard(call)
-            self.balancer.expired(self.now, call)
+            self.balancer.on_request_cancelled(self.now, call)
 
     def told(self, entries: list[Endpoint]) -> None:
         self.now = self.world.now
-        self.balancer.discovery(self.now, ListForm.DELTA, entries)
+        self.balancer.on_watch_event(self.now, WatchEventKind.DELTA, entries)
 
 
 class World:
@@ -161,11 +165,16 @@
         chosen = settings(
             classes=(SAFE,),
             tenants=(),
-            balancers=told_copies,
-            rules=replace(RULES, overload_factor=factor),
+            instance_count=told_copies,
+            lifecycle=replace(RULES, overload_factor=factor),
         )
         self.copies = [
-            Copy(self, replace(chosen, rank=i % told_copies, zone=f"z{i % ZONES}"), listed, seed * 1000 + i)
+            Copy(
+                self,
+                replace(chosen, instance_index=i % told_copies, zone=f"z{i % ZONES}"),
+                listed,
+                seed * 1000 + i,
+            )
             for i in range(COPIES)
         ]
         # Some get several times the mean.
@@ -221,7 +230,7 @@
     world.run(EVENT - AWAY_US)
     for server in zone:
         server.up = False
-        server.entry = server.entry._replace(readiness=Readiness.GONE)
+        server.entry = server.entry._replace(readiness=Readiness.REMOVED)
     world.now += 500 * MS
     world.tell(zone, 500 * MS)
     world.run(EVENT)
--- a/tests/test_crowded_discovery.py
+++ b/tests/test_crowded_discovery.py
@@ -10,17 +10,17 @@
 
 import pytest
 
-from eiderhub.balancer import Balancer
-from eiderhub.interface import Actions, Discovery, ListForm, Rules
-from eiderhub.policy.discovery_calls import ASK
-from eiderhub.policy.discovery_schedule import (
+from corkdoor.balancer import Balancer
+from corkdoor.interface import Actions
+from corkdoor.model import DiscoveryMode, Timer, WatchEventKind
+from corkdoor.policy.discovery_backoff import (
     MOVE_SETTLES_US,
     REST_US,
     TURN_MOST_US,
     TURN_WAITS_US,
     YIELD_SLACK_US,
 )
-from eiderhub.policy.watch_waits import (
+from corkdoor.policy.watch_timeout import (
     FIRST_MS,
     LEAST_SHARE,
     LONGEST_MS,
@@ -28,7 +28,8 @@
     LOSSY_US,
     WatchWaits,
 )
-from fleet.crowded_discovery import Fleet, Scenario
+from corkdoor.settings import LifecycleRules
+from emulator.crowded_discovery import Fleet, Scenario
 from tests.sidecar_support import Sidecar, listing, row, run
 from tests.support import MS, Host, S, endpoints, settings
 
@@ -66,7 +67,9 @@
         self.queue: deque[int] = deque()
         self.watching = [False] * sidecars
         self.told_at: dict[int, list[int]] = {number: [] for number in range(sidecars)}
-        chosen = settings(discovery=Discovery.ASK, rules=Rules(ask_every_us=10 * S))
+        chosen = settings(
+            discovery_mode=DiscoveryMode.POLL, lifecycle=LifecycleRules(poll_interval_us=10 * S)
+        )
         self.sidecars = [
             Balancer(chosen, seed * 1000 + number, cast(Actions, Caller(self, number)))
             for number in range(sidecars)
@@ -93,9 +96,9 @@
             if what == "start":
                 sidecar.start(self.now)
             elif what == "wake":
-                sidecar.wake(self.now, ASK)
+                sidecar.on_timer(self.now, Timer.DISCOVERY_POLL)
             elif what == "refuse":
-                sidecar.discovery(self.now, ListForm.REFUSED, [])
+                sidecar.on_watch_event(self.now, WatchEventKind.REJECTED, [])
             elif what == "watch ends":
                 if self.watching[number] and self.now == self.told_at[number][-1] + WATCH_US:
                     self.ask(number)
@@ -108,7 +111,7 @@
             self.after(self.cost_us, "answer", self.queue[0])
         self.told_at[number].append(self.now)
         self.watching[number] = True
-        self.sidecars[number].discovery(self.now, ListForm.DELTA, [])
+        self.sidecars[number].on_watch_event(self.now, WatchEventKind.DELTA, [])
         # The next watch costs a call at its beginning, as it does here, and is answered after a while.
         self.after(WATCH_US, "watch ends", number)
 
@@ -120,13 +123,13 @@
         self.discovery = discovery
         self.number = number
 
-    def tail(self, on: bool) -> None:
+    def watch_discovery(self, enabled: bool) -> None:
         self.discovery.watching[self.number] = False
-        if on:
+        if enabled:
             self.discovery.ask(self.number)
 
-    def timer(self, delay_us: int, mark: str) -> None:
-        if mark == ASK:
+    def start_timer(self, delay_us: int, timer: Timer) -> None:
+        if timer is Timer.DISCOVERY_POLL:
             self.discovery.after(delay_us, "wake", self.number)
 
 
@@ -173,15 +176,15 @@
         grown.append(waits.draw(1.0))
         waits.answered()
     assert grown == [FIRST_MS, 2 * FIRST_MS, 4 * FIRST_MS, LONGEST_MS, LONGEST_MS]
-    waits.failed(1 * S, ListForm.REFUSED)
+    waits.failed(1 * S, WatchEventKind.REJECTED)
     assert waits.draw(1.0) == FIRST_MS
-    waits.failed(2 * S, ListForm.LOST)
+    waits.failed(2 * S, WatchEventKind.LOST)
     assert waits.draw(1.0) == LOSSY_MS
     waits.answered()
     assert waits.draw(1.0) == FIRST_MS
     waits.interrupted(2 * S + LOSSY_US - 1)
     assert waits.draw(1.0) == LOSSY_MS
-    waits.failed(2 * S + LOSSY_US, ListForm.FAILED)
+    waits.failed(2 * S + LOSSY_US, WatchEventKind.FAILED)
     assert waits.draw(1.0) == FIRST_MS
     assert waits.draw(0.0) == LEAST_SHARE * FIRST_MS
 
@@ -189,14 +192,17 @@
 def turned_away(host: Host) -> int:
     """The wait after a call that is refused at once."""
     host.timers.clear()
-    host.balancer.discovery(host.now, ListForm.REFUSED, [])
+    host.balancer.on_watch_event(host.now, WatchEventKind.REJECTED, [])
     ((due, _),) = host.timers
     return due - host.now
 
 
 def asking_host(entries: int = 2) -> Host:
     return Host(
-        settings(discovery=Discovery.ASK, rules=Rules(ask_every_us=20 * S, drain_grace_us=1_500 * MS)),
+        settings(
+            discovery_mode=DiscoveryMode.POLL,
+            lifecycle=LifecycleRules(poll_interval_us=20 * S, drain_grace_us=1_500 * MS),
+        ),
         endpoints(entries),
     )
 
@@ -206,12 +212,12 @@
     host.advance(turned_away(host))
     host.did.clear()
     host.timers.clear()
-    host.balancer.discovery(host.now, ListForm.FULL, endpoints(2))
-    assert host.did == [("tail", False)]
+    host.balancer.on_watch_event(host.now, WatchEventKind.FULL, endpoints(2))
+    assert host.did == [("watch_discovery", False)]
     ((due, _),) = host.timers
     assert REST_US * 0.75 <= due - host.now <= REST_US * 1.25
     host.advance(due - host.now)
-    assert host.did[-1] == ("tail", True)
+    assert host.did[-1] == ("watch_discovery", True)
     assert turned_away(host) >= TOLD_S * S - YIELD_SLACK_US - REST_US * 1.25  # it yields: others need it more
 
 
@@ -220,7 +226,7 @@
     host = asking_host()
     host.advance(turned_away(host))
     host.did.clear()
-    host.balancer.discovery(host.now, ListForm.DELTA, [])
+    host.balancer.on_watch_event(host.now, WatchEventKind.DELTA, [])
     assert host.did == []  # the watch goes on
     assert turned_away(host) <= 1.5 * TURN_WAITS_US[1]
 
@@ -233,18 +239,18 @@
         turn_us = max(least, min(took_us, most))
         host.advance(turned_away(host))
         host.now += took_us
-        host.balancer.discovery(host.now, ListForm.FULL, endpoints(2))
+        host.balancer.on_watch_event(host.now, WatchEventKind.FULL, endpoints(2))
         host.now += int(TOLD_S * S)
         waits = []
         for _ in range(30):
-            host.balancer.asking.ask_at = -1
-            host.balancer.asking.renewal.began = host.now
-            host.balancer.asking.renewal.refusals = 0
+            host.balancer.discovery.ask_at = -1
+            host.balancer.discovery.renewal.began = host.now
+            host.balancer.discovery.renewal.refusals = 0
             waits.append(turned_away(host))
         assert 0.5 * turn_us <= min(waits) and max(waits) <= 1.7 * turn_us
         assert max(waits) - min(waits) > 0.5 * turn_us  # drawn, or they would come in step
-        host.balancer.asking.ask_at = -1
-        host.balancer.asking.renewal.refusals = 1000  # more is asked than can be answered
+        host.balancer.discovery.ask_at = -1
+        host.balancer.discovery.renewal.refusals = 1000  # more is asked than can be answered
         assert 0.5 * TURN_MOST_US <= turned_away(host) <= 1.5 * TURN_MOST_US
 
 
@@ -252,14 +258,14 @@
     host = asking_host()
     host.did.clear()
     host.timers.clear()
-    host.balancer.moved(host.now)
-    assert host.did == [("tail", True)]
+    host.balancer.on_discovery_moved(host.now)
+    assert host.did == [("watch_discovery", True)]
     for _ in range(3):
         host.now += MOVE_SETTLES_US - 1
-        host.balancer.moved(host.now)
-    assert host.did == [("tail", True)]
+        host.balancer.on_discovery_moved(host.now)
+    assert host.did == [("watch_discovery", True)]
     host.advance(MOVE_SETTLES_US)
-    assert host.did == [("tail", True)] * 2
+    assert host.did == [("watch_discovery", True)] * 2
     host.now += MOVE_SETTLES_US
-    host.balancer.moved(host.now)
-    assert host.did == [("tail", True)] * 3
+    host.balancer.on_discovery_moved(host.now)
+    assert host.did == [("watch_discovery", True)] * 3
--- a/tests/test_crowding.py
+++ b/tests/test_crowding.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from eiderhub.sidecar import host, server, upstream
-from eiderhub.sidecar.clock import now_us
+from corkdoor.sidecar import proxy, server, upstream
+from corkdoor.sidecar.clock import now_us
 from tests.sidecar_support import Asked, Client, Sidecar, run
 
 
@@ -16,7 +16,7 @@
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.us = now_us()
-        for module in (host, server, upstream):
+        for module in (proxy, server, upstream):
             monkeypatch.setattr(module, "now_us", lambda: self.us)
         # A slow machine comes to look at callers that are not yet in use, and would close them by this clock.
         monkeypatch.setattr(server, "FIRST_S", 3600.0)
@@ -48,7 +48,7 @@
 ) -> None:
     """The first `count` endpoints fail all that they get, the others serve, until those are left out."""
     client = await sidecar.client()
-    while len(sidecar.host.balancer.ejected) < count:
+    while len(sidecar.proxy.balancer.ejected) < count:
         client.send("pay")
         asked = await queue.get()
         if clock is not None:
@@ -88,7 +88,7 @@
     async def test() -> None:
         async with Sidecar(endpoints=4) as sidecar:
             queue = arrivals(sidecar)
-            cap = sidecar.host.balancer.placements[0].local.limit.cap
+            cap = sidecar.proxy.balancer.placements[0].local.limit.cap
             await fail_until_ejected(sidecar, queue, 2)
             assert cap / 3 < await reached(sidecar, queue, 40) < 2 * cap / 3
 
@@ -102,7 +102,7 @@
         clock = Clock(monkeypatch)
         async with Sidecar() as sidecar:
             queue = arrivals(sidecar)
-            limit = sidecar.host.balancer.placements[0].local.limit
+            limit = sidecar.proxy.balancer.placements[0].local.limit
             clients = [await sidecar.client() for _ in range(60)]
             for _ in range(20):
                 await serve(queue, clock, clients[:1], 100_000)
@@ -123,7 +123,7 @@
         clock = Clock(monkeypatch)
         async with Sidecar(endpoints=4) as sidecar:
             queue = arrivals(sidecar)
-            limit = sidecar.host.balancer.placements[0].local.limit
+            limit = sidecar.proxy.balancer.placements[0].local.limit
             await fail_until_ejected(sidecar, queue, 2, clock)
             clients = [await sidecar.client() for _ in range(40)]
             cap = limit.cap
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -10,17 +10,17 @@
 
 import pytest
 
-from eiderhub import balancer
-from eiderhub.interface import ListForm
-from eiderhub.sidecar import server
-from eiderhub.sidecar.discovery import read_listing
-from eiderhub.sidecar.upstream import Connection
+from corkdoor import balancer
+from corkdoor.model import WatchEventKind
+from corkdoor.sidecar import server
+from corkdoor.sidecar.discovery import read_endpoint_list
+from corkdoor.sidecar.upstream import Connection
 from tests.sidecar_support import SETUP, Client, Sidecar, first_asked, read_message, row, run
 
 
 async def noticed(sidecar: Sidecar) -> None:
     """Wait until no request of a caller is open, neither taken nor waiting behind another."""
-    while any(caller.busy for caller in sidecar.server.callers):
+    while any(caller.busy for caller in sidecar.server.clients):
         await asyncio.sleep(0.01)
 
 
@@ -37,10 +37,10 @@
 def test_client_that_leaves_while_its_request_is_held_in_the_queue() -> None:
     async def test() -> None:
         async with Sidecar(endpoints=1) as sidecar:
-            sidecar.host.on_list(ListForm.FULL, [])  # nothing to send to: calls are held
+            sidecar.proxy.on_list(WatchEventKind.FULL, [])  # nothing to send to: calls are held
             client, other = await sidecar.client(), await sidecar.client()
             client.send(request_id="held")
-            while not sidecar.host.balancer.queue.count:
+            while not sidecar.proxy.balancer.queue.count:
                 await asyncio.sleep(0.01)
             client.writer.close()
             await noticed(sidecar)
@@ -49,28 +49,28 @@
                 "reset": True,
                 "instances": [row("s-0", sidecar.endpoints[0].address)],
             }
-            sidecar.host.on_list(ListForm.FULL, read_listing(document).entries)
+            sidecar.proxy.on_list(WatchEventKind.FULL, read_endpoint_list(document).entries)
             await only_this_arrives(sidecar, other)
 
     run(test())
 
 
-@pytest.mark.parametrize("may_cancel", [False, True])
+@pytest.mark.parametrize("cancellation_allowed", [False, True])
 def test_client_that_leaves_while_a_connection_comes_up(
-    may_cancel: bool, monkeypatch: pytest.MonkeyPatch
+    cancellation_allowed: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
-        allowed = {**SETUP["Allowed"], "MayCancel": may_cancel, "ConnectTimeoutUs": 9_000_000}
+        allowed = {**SETUP["Allowed"], "MayCancel": cancellation_allowed, "ConnectTimeoutUs": 9_000_000}
         async with Sidecar(Allowed=allowed) as sidecar:
             up, gone = asyncio.Event(), asyncio.Event()
-            dial = sidecar.host.upstream.dial
+            dial = sidecar.proxy.upstream.dial
 
             async def late(*where: object) -> None:
                 await dial(*where)  # type: ignore[arg-type]
                 up.set()
                 await gone.wait()
 
-            monkeypatch.setattr(sidecar.host.upstream, "dial", late)
+            monkeypatch.setattr(sidecar.proxy.upstream, "dial", late)
             client, other = await sidecar.client(), await sidecar.client()
             client.send(request_id="early")
             await up.wait()
@@ -93,7 +93,7 @@
             client.writer.close()
             await noticed(sidecar)
             asked.reply(503, b"", "Srv-Declined: 1")
-            while sidecar.host.requests:
+            while sidecar.proxy.requests:
                 await asyncio.sleep(0.01)
             await only_this_arrives(sidecar, other)
 
@@ -111,13 +111,13 @@
             asked = await sidecar.endpoints[0].next()
             for _ in range(behind):
                 client.send(deadline_ms=3_000_000)
-            while not any(len(caller.waiting) == behind for caller in sidecar.server.callers):
+            while not any(len(caller.waiting) == behind for caller in sidecar.server.clients):
                 await asyncio.sleep(0.01)
-            assert any(caller.paused for caller in sidecar.server.callers) == (behind == server.MAX_WAITING)
+            assert any(caller.paused for caller in sidecar.server.clients) == (behind == server.MAX_WAITING)
             client.writer.close()
             assert await sidecar.endpoints[0].ends.get() == asked.connection  # the attempt is called off
             await only_this_arrives(sidecar, other)
-            assert not sidecar.host.requests
+            assert not sidecar.proxy.requests
 
     run(test())
 
@@ -131,7 +131,7 @@
             client, other = await sidecar.client(), await sidecar.client()
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
             port = client.writer.get_extra_info("sockname")[1]
-            (caller,) = [c for c in sidecar.server.callers if c.transport.peer_port() == port]
+            (caller,) = [c for c in sidecar.server.clients if c.transport.peer_port() == port]
             while not caller.stuck:
                 client.send()
                 (await sidecar.endpoints[0].next()).reply(200, b"x" * 65_000)
@@ -142,7 +142,7 @@
             while not caller.ended:
                 await asyncio.sleep(0.01)
             client.writer.transport.resume_reading()  # type: ignore[attr-defined]
-            while caller in sidecar.server.callers:
+            while caller in sidecar.server.clients:
                 await client.reader.read(1 << 20)
             await only_this_arrives(sidecar, other)
 
@@ -188,18 +188,18 @@
 
 def nobody_listed(sidecar: Sidecar) -> None:
     """From here on calls are held, and the connections that rest are closed."""
-    sidecar.host.on_list(ListForm.FULL, [])
+    sidecar.proxy.on_list(WatchEventKind.FULL, [])
 
 
 def all_listed(sidecar: Sidecar) -> None:
     rows = [row(f"s-{i}", fake.address) for i, fake in enumerate(sidecar.endpoints)]
     document = {"generation": 2, "reset": True, "instances": rows}
-    sidecar.host.on_list(ListForm.FULL, read_listing(document).entries)
+    sidecar.proxy.on_list(WatchEventKind.FULL, read_endpoint_list(document).entries)
 
 
 async def warm(sidecar: Sidecar, each: int) -> None:
     """Have connections rest at every endpoint: an attempt is then written in the very step that begins it."""
-    upstream = sidecar.host.upstream
+    upstream = sidecar.proxy.upstream
     for i, fake in enumerate(sidecar.endpoints):
         host, _, port = fake.address.rpartition(":")
         # As a list would place it that tells of no start.
@@ -212,7 +212,7 @@
 
 
 async def held(sidecar: Sidecar, count: int) -> None:
-    while sidecar.host.balancer.queue.count < count:
+    while sidecar.proxy.balancer.queue.count < count:
         await asyncio.sleep(0.01)
 
 
@@ -234,10 +234,10 @@
             leave(client)
             all_listed(sidecar)
             await noticed(sidecar)
-            assert sidecar.host.upstream.tally["opened"] == 0
+            assert sidecar.proxy.upstream.tally["opened"] == 0
             await only_this_arrives(sidecar, other)
-            assert sidecar.host.tally["gone"] == 1
-            assert not sidecar.host.requests
+            assert sidecar.proxy.tally["gone"] == 1
+            assert not sidecar.proxy.requests
             client.close()
 
     run(test())
@@ -261,7 +261,7 @@
             time.sleep(0.1)  # the load: both are due by now, and the loop reads nothing between the two
             await noticed(sidecar)
             await only_this_arrives(sidecar, other)
-            assert not sidecar.host.requests
+            assert not sidecar.proxy.requests
             client.close()
 
     run(test())
@@ -273,7 +273,7 @@
 ) -> None:
     async def test() -> None:
         async with Sidecar(Allowed={**SETUP["Allowed"], "ConnectTimeoutUs": 9_000_000}) as sidecar:
-            dial = sidecar.host.upstream.dial
+            dial = sidecar.proxy.upstream.dial
             client, other = blocking(sidecar), await sidecar.client()
 
             async def late(*where: object) -> None:
@@ -281,13 +281,13 @@
                 monkeypatch.undo()
                 leave(client)  # nothing comes between this and the attempt
 
-            monkeypatch.setattr(sidecar.host.upstream, "dial", late)
-            while not sidecar.host.upstream.tally["opened"]:
+            monkeypatch.setattr(sidecar.proxy.upstream, "dial", late)
+            while not sidecar.proxy.upstream.tally["opened"]:
                 await asyncio.sleep(0.01)
             await noticed(sidecar)
             await only_this_arrives(sidecar, other)
-            assert sidecar.host.tally["moot"] == 1
-            assert not sidecar.host.requests
+            assert sidecar.proxy.tally["not_sent"] == 1
+            assert not sidecar.proxy.requests
             client.close()
 
     run(test())
@@ -306,7 +306,7 @@
             leave(client)
             await noticed(sidecar)
             await only_this_arrives(sidecar, other)
-            assert not sidecar.host.requests
+            assert not sidecar.proxy.requests
             client.close()
 
     run(test())
@@ -322,13 +322,13 @@
             for n in range(server.MAX_WAITING):
                 client.sendall(asks(f"behind-{n}", 3_000_000))
             asked = await sidecar.endpoints[0].next()
-            while not any(caller.paused for caller in sidecar.server.callers):
+            while not any(caller.paused for caller in sidecar.server.clients):
                 await asyncio.sleep(0.01)
             asked.reply()
             leave(client)
             await noticed(sidecar)
             await only_this_arrives(sidecar, other)
-            assert not sidecar.host.requests
+            assert not sidecar.proxy.requests
             client.close()
 
     run(test())
@@ -367,7 +367,7 @@
             for task in serving:
                 task.cancel()
             assert sorted(arrived) == sorted(f"stays-{n}" for n in range(0, 100, 2))
-            assert sidecar.host.tally["gone"] == 50
-            assert not sidecar.host.requests
+            assert sidecar.proxy.tally["gone"] == 50
+            assert not sidecar.proxy.requests
 
     run(test())
--- a/tests/test_draining.py
+++ b/tests/test_draining.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from eiderhub.sidecar import __main__ as entry
+from corkdoor.sidecar import __main__ as entry
 from tests.sidecar_support import Client, Sidecar, program, run
 
 
@@ -70,7 +70,7 @@
                     callers[-1].sendall(REQUEST % i)
 
             at("drain: 0 callers", connect)
-            drain = asyncio.create_task(entry.drain(sidecar.server, sidecar.host))
+            drain = asyncio.create_task(entry.drain(sidecar.server, sidecar.proxy))
             for _ in range(3):
                 (await sidecar.endpoints[0].next()).reply()
             for sock in callers:
@@ -89,13 +89,13 @@
             await sidecar.endpoints[0].next()
             client.send(deadline_ms=30_000)
             client.send(deadline_ms=30_000)
-            while sum(len(caller.waiting) for caller in sidecar.server.callers) < 2:
+            while sum(len(caller.waiting) for caller in sidecar.server.clients) < 2:
                 await asyncio.sleep(0.01)
-            await entry.drain(sidecar.server, sidecar.host)
+            await entry.drain(sidecar.server, sidecar.proxy)
             assert [(await client.answer()).status for _ in range(3)] == [504, 503, 503]
             assert await client.reader.read() == b""
             assert sidecar.endpoints[0].asked.empty()
-            assert not sidecar.server.callers
+            assert not sidecar.server.clients
 
     run(test())
 
@@ -107,9 +107,9 @@
         async with Sidecar() as sidecar:
             client = await sidecar.client()
             client.writer.write(REQUEST[:-1] % 1)
-            while not any(caller.receiving for caller in sidecar.server.callers):
+            while not any(caller.receiving for caller in sidecar.server.clients):
                 await asyncio.sleep(0.01)
-            drain = asyncio.create_task(entry.drain(sidecar.server, sidecar.host))
+            drain = asyncio.create_task(entry.drain(sidecar.server, sidecar.proxy))
             answer = await client.answer()
             assert (answer.status, answer.headers["connection"]) == (503, "close")
             client.writer.close()
@@ -130,10 +130,10 @@
             busy.send(deadline_ms=30_000)
             await sidecar.endpoints[0].next()
             late.sendall(REQUEST[:-1] % 1)
-            while not any(caller.receiving for caller in sidecar.server.callers):
+            while not any(caller.receiving for caller in sidecar.server.clients):
                 await asyncio.sleep(0.01)
             at("drain: ends", lambda: late.sendall(b"x" + REQUEST % 2))
-            await entry.drain(sidecar.server, sidecar.host)
+            await entry.drain(sidecar.server, sidecar.proxy)
             client = Client(*await asyncio.open_connection(sock=late))
             assert (await client.answer()).status == 503
             assert (await busy.answer()).status == 504
--- a/tests/test_fleet_discovery.py
+++ b/tests/test_emulator_discovery.py
@@ -12,9 +12,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from eiderhub.interface import ListForm
-from eiderhub.sidecar.discovery import CONNECT_S, Listed, Watcher
-from fleet.discovery import LOG_KEPT, Cost, DiscoveryServer, Registry, SerialQueue, read_call
+from corkdoor.model import WatchEventKind
+from corkdoor.sidecar.discovery import CONNECT_S, DiscoveryWatcher, ResolvedEndpoint
+from emulator.discovery import LOG_KEPT, Cost, DiscoveryServer, Registry, SerialQueue, read_call
 from tests.sidecar_support import row, run
 
 FREE = Cost(call_us=0, byte_ns=0)
@@ -143,18 +143,18 @@
     """
 
     def __init__(self, server: DiscoveryServer, generation: int, persist: bool = True) -> None:
-        self.lists: asyncio.Queue[tuple[ListForm, list[Listed]]] = asyncio.Queue()
+        self.lists: asyncio.Queue[tuple[WatchEventKind, list[ResolvedEndpoint]]] = asyncio.Queue()
         self.persist = persist
         host, _, port = server.address("a").rpartition(":")
-        self.watcher = Watcher(host, int(port), generation, CONNECT_S, self._deliver)
+        self.watcher = DiscoveryWatcher(host, int(port), generation, CONNECT_S, self._deliver)
 
-    def _deliver(self, form: ListForm, entries: list[Listed]) -> None:
-        if self.persist and form not in (ListForm.FULL, ListForm.DELTA):
+    def _deliver(self, form: WatchEventKind, entries: list[ResolvedEndpoint]) -> None:
+        if self.persist and form not in (WatchEventKind.FULL, WatchEventKind.DELTA):
             asyncio.get_running_loop().call_later(0.05, self.watcher.turn, True)
         else:
             self.lists.put_nowait((form, entries))
 
-    async def next(self) -> tuple[ListForm, list[str]]:
+    async def next(self) -> tuple[WatchEventKind, list[str]]:
         form, entries = await self.lists.get()
         return form, [f"{listed.endpoint.id} {listed.endpoint.readiness.value}" for listed in entries]
 
@@ -176,11 +176,11 @@
         server = await begun()
         told = Told(server, 0)  # ahead of nothing: generation 0 is older than the list's first
         told.watcher.turn(True)
-        assert await told.next() == (ListForm.FULL, ["s-0 ready", "s-1 ready"])
+        assert await told.next() == (WatchEventKind.FULL, ["s-0 ready", "s-1 ready"])
         await until(lambda: server.figures.calls["watch"] == 2)
         server.change("b", [row("s-9", "127.0.0.1:9")])  # another service's: not ours to hear
         server.change("a", [row("s-1", "127.0.0.1:9", "draining")])
-        assert await told.next() == (ListForm.DELTA, ["s-1 draining"])
+        assert await told.next() == (WatchEventKind.DELTA, ["s-1 draining"])
         assert told.watcher.generation == 2
         told.watcher.turn(False)
         await server.stop()
@@ -201,7 +201,7 @@
             await asyncio.open_connection(host, int(port))
         server.change("a", [row("s-0", "127.0.0.1:9", "gone")])
         await server.outage(False)
-        assert await told.next() == (ListForm.DELTA, ["s-0 gone"])
+        assert await told.next() == (WatchEventKind.DELTA, ["s-0 gone"])
         told.watcher.turn(False)
         await server.stop()
 
@@ -215,7 +215,7 @@
         for one in told:
             one.watcher.turn(True)
         forms = [(await one.next())[0] for one in told]
-        assert forms.count(ListForm.FULL) == 1 and forms.count(ListForm.REFUSED) == 2
+        assert forms.count(WatchEventKind.FULL) == 1 and forms.count(WatchEventKind.REJECTED) == 2
         assert server.figures.calls["failed"] == 2
         for one in told:
             one.watcher.turn(False)
--- a/tests/test_fleet_growth.py
+++ b/tests/test_emulator_growth.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from fleet.growth import MEGABYTE, Needs, compare, rows
+from emulator.growth import MEGABYTE, Needs, compare, rows
 
 USUAL = Needs(200, 1.0, 30 * MEGABYTE, 100, 110, 40 * 1024, 1.0, True)
 AT_THE_LIMIT = Needs(3200, 1.8039, int(65.8 * MEGABYTE), 240, 315, 1744 * 1024, 0.85, True)
--- a/tests/test_fleet_run.py
+++ b/tests/test_emulator_run.py
@@ -13,8 +13,8 @@
 import uvloop
 from rich.console import Console
 
-from fleet import run as fleet_run
-from fleet.run import (
+from emulator import run as fleet_run
+from emulator.run import (
     Changed,
     Player,
     PlayError,
@@ -26,7 +26,7 @@
     last_told_s,
     running_at,
 )
-from fleet.scenario import Scenario, parse
+from emulator.scenario import Scenario, parse
 
 S = 1_000_000_000
 
@@ -159,9 +159,9 @@
 
 def test_the_sidecar_imports_nothing_of_the_emulator_and_is_not_deployed_with_it() -> None:
     root = Path(__file__).parent.parent
-    for path in (root / "eiderhub").rglob("*.py"):
+    for path in (root / "corkdoor").rglob("*.py"):
         for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
             names = [alias.name for alias in node.names] if isinstance(node, ast.Import) else []
             names += [node.module or ""] if isinstance(node, ast.ImportFrom) else []
-            assert not any(name.partition(".")[0] == "fleet" for name in names), path
-    assert "fleet" not in (root / "deploy" / "balancer.toml").read_text(encoding="utf-8")
+            assert not any(name.partition(".")[0] == "emulator" for name in names), path
+    assert "emulator" not in (root / "deploy" / "balancer.toml").read_text(encoding="utf-8")
--- a/tests/test_fleet_scenario.py
+++ b/tests/test_emulator_scenario.py
@@ -10,7 +10,7 @@
 import msgspec
 import pytest
 
-from fleet.scenario import (
+from emulator.scenario import (
     ChangeList,
     Down,
     Kill,
@@ -24,7 +24,7 @@
     stream,
 )
 
-SCENARIOS = sorted((Path(__file__).parent.parent / "fleet" / "scenarios").glob("*.toml"))
+SCENARIOS = sorted((Path(__file__).parent.parent / "emulator" / "scenarios").glob("*.toml"))
 LEAST: dict[str, Any] = {"name": "x", "seed": 1, "sizes": [72], "seconds": 60}
 
 
@@ -93,7 +93,7 @@
     path = tmp_path / "bad.toml"
     path.write_text(text, encoding="utf-8")
     done = subprocess.run(
-        [sys.executable, "-m", "fleet", "run", str(path)], capture_output=True, text=True, timeout=60
+        [sys.executable, "-m", "emulator", "run", str(path)], capture_output=True, text=True, timeout=60
     )
     assert done.returncode == 1
     assert done.stderr.count("\n") == 1 and done.stderr.startswith(f"fleet: {path}: {said}")
--- a/tests/test_fleet_slopes.py
+++ b/tests/test_emulator_slopes.py
@@ -13,12 +13,12 @@
 from hypothesis import strategies as st
 from typer.testing import CliRunner
 
-from fleet.breakdown import STEPS, Stopwatch
-from fleet.clients import histogram
-from fleet.fit import fit
-from fleet.microbench import ListBench, ModuleBench, body_of, rows_of
-from fleet.sidecar import usage
-from fleet.slopes import (
+from emulator.breakdown import STEPS, Stopwatch
+from emulator.clients import histogram
+from emulator.fit import fit
+from emulator.microbench import ListBench, ModuleBench, body_of, rows_of
+from emulator.sidecar import usage
+from emulator.slopes import (
     MEASURES,
     Feeder,
     Point,
@@ -82,7 +82,7 @@
 def test_the_bench_of_the_module_sends_every_call_to_its_subset() -> None:
     bench = ModuleBench(400, 40)
     cost = bench.measure(3, 50)
-    assert bench.serial == 50 + 3 * 50 and not bench.balancer.calls
+    assert bench.serial == 50 + 3 * 50 and not bench.balancer.requests
     assert cost.subset == 64, "wide enough for a copy with few calls, whose cap would allow 140"
     assert cost.call_us > cost.in_use_us > 0
 
--- a/tests/test_fleet_standins.py
+++ b/tests/test_emulator_standins.py
@@ -11,10 +11,10 @@
 import pytest
 from hdrh.histogram import HdrHistogram
 
-from fleet.clients import Job, Result, Target, arrivals, held_rate, play
-from fleet.endpoint import Change, Count, Endpoint, Endpoints, Kind, Open, Release
-from fleet.sidecar import Sidecar, SidecarError, free_port
-from fleet.worker import Worker, WorkerError
+from emulator.clients import Job, Result, Target, arrivals, held_rate, play
+from emulator.endpoint import Change, Count, Endpoint, Endpoints, Kind, Open, Release
+from emulator.sidecar import Sidecar, SidecarError, free_port
+from emulator.worker import Worker, WorkerError
 from tests.sidecar_support import Message, read_message, run
 
 
@@ -218,7 +218,7 @@
 
 def test_a_worker_tells_of_a_fault_and_goes_on() -> None:
     async def body() -> None:
-        async with Worker("fleet.endpoint") as worker:
+        async with Worker("emulator.endpoint") as worker:
             with pytest.raises(WorkerError, match="KeyError"):
                 await worker.ask(Change("nobody", "drain"))
             assert list((await worker.ask(Open("s", 2)))["addresses"]) == ["s0", "s1"]
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -38,9 +38,9 @@
         control.shorten_next(call, limit=3, count=50)
     else:
         control.fail_next(call, error, skip=skip)
-    for grade in ("pay", "look"):
-        assert (await client.ask(grade)).body == ANSWER
-        assert (await (await running.client()).ask(grade)).body == ANSWER
+    for class_name in ("pay", "look"):
+        assert (await client.ask(class_name)).body == ANSWER
+        assert (await (await running.client()).ask(class_name)).body == ANSWER
     assert control.hits(call) > 0
     serving.cancel()
 
@@ -135,8 +135,8 @@
             running.endpoint = endpoint
             serving = asyncio.create_task(serve(running))
             control.fail_next(call, error)
-            for grade in ("pay", "look"):
-                assert (await (await running.client()).ask(grade)).body == ANSWER
+            for class_name in ("pay", "look"):
+                assert (await (await running.client()).ask(class_name)).body == ANSWER
             assert control.hits(call) > 0
             serving.cancel()
 
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -8,15 +8,15 @@
 
 import pytest
 
-from eiderhub.interface import ListForm
-from eiderhub.sidecar.clock import Alarm
-from eiderhub.sidecar.discovery import read_listing
-from eiderhub.sidecar.host import Request
-from eiderhub.sidecar.server import CallerConnection
-from eiderhub.sidecar.upstream import Attempt, Connection, Pool
+from corkdoor.model import WatchEventKind
+from corkdoor.sidecar.clock import Alarm
+from corkdoor.sidecar.discovery import read_endpoint_list
+from corkdoor.sidecar.proxied_request import ProxiedRequest
+from corkdoor.sidecar.server import ClientConnection
+from corkdoor.sidecar.upstream import Attempt, Connection, Pool
 from tests.sidecar_support import Fake, Sidecar, row, run
 
-COUNTED = (Alarm, Attempt, CallerConnection, Connection, Pool, Request)
+COUNTED = (Alarm, Attempt, ClientConnection, Connection, Pool, ProxiedRequest)
 
 
 def counts() -> Counter[str]:
@@ -63,26 +63,26 @@
                 gc.enable()
 
     async def settled(sidecar: Sidecar) -> None:
-        while sidecar.server.callers or sidecar.host.requests or sidecar.host.upstream.open:
+        while sidecar.server.clients or sidecar.proxy.requests or sidecar.proxy.upstream.open:
             await asyncio.sleep(0.01)
         await asyncio.sleep(0.05)  # what was aborted is let go of in the loop's next turns
 
     run(test())
 
 
-@pytest.mark.parametrize("form", [ListForm.DELTA, ListForm.FULL])
-def test_endpoints_that_are_gone_are_forgotten(form: ListForm) -> None:
+@pytest.mark.parametrize("form", [WatchEventKind.DELTA, WatchEventKind.FULL])
+def test_endpoints_that_are_gone_are_forgotten(form: WatchEventKind) -> None:
     async def test() -> None:
         async with Sidecar(endpoints=1) as sidecar:
             address = sidecar.endpoints[0].address
             for i in range(50):
                 rows = [row(f"s-{i + 1}", address)]
-                if form is ListForm.DELTA:
+                if form is WatchEventKind.DELTA:
                     rows += [row(f"s-{i}", address, "draining"), row(f"s-{i}", address, "gone")]
-                listing = read_listing({"generation": i, "reset": False, "instances": rows})
-                sidecar.host.on_list(form, listing.entries)
-            assert list(sidecar.host.upstream.pools) == ["s-50"]
-            assert list(sidecar.host.balancer.endpoints) == ["s-50"]
+                listing = read_endpoint_list({"generation": i, "reset": False, "instances": rows})
+                sidecar.proxy.on_list(form, listing.entries)
+            assert list(sidecar.proxy.upstream.pools) == ["s-50"]
+            assert list(sidecar.proxy.balancer.endpoints) == ["s-50"]
 
     run(test())
 
@@ -97,9 +97,9 @@
             old_client.send()
             old = await fake.next()
             rows = [row("s-0", fake.address, "gone"), row("s-1", fake.address)]
-            listing = read_listing({"generation": 2, "reset": False, "instances": rows})
-            sidecar.host.on_list(ListForm.DELTA, listing.entries)
-            balancer = sidecar.host.balancer
+            listing = read_endpoint_list({"generation": 2, "reset": False, "instances": rows})
+            sidecar.proxy.on_list(WatchEventKind.DELTA, listing.entries)
+            balancer = sidecar.proxy.balancer
             assert set(balancer.endpoints) == {"s-0", "s-1"}  # one has something out
             new_client.send()
             new = await fake.next()
@@ -111,6 +111,6 @@
             new.reply()
             assert (await new_client.answer()).status == 200
             assert balancer.endpoints["s-1"].in_flight == 0
-            assert sidecar.host.upstream.open == 1
+            assert sidecar.proxy.upstream.open == 1
 
     run(test())
