--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -7,8 +7,9 @@
 
 import pytest
 
-from eiderhub.interface import Effect, Group, Limits, Outcome, RequestClass
-from eiderhub.sidecar.invariants import (
+from corkdoor.model import DeduplicationScope, Idempotency, Outcome
+from corkdoor.settings import Limits, RequestClass
+from corkdoor.sidecar.invariants import (
     HELD_UP_US,
     Invariant,
     InvariantLog,
@@ -21,30 +22,30 @@
 S = 1_000_000
 WINDOW_US = 2 * S
 HERE, SAME_ZONE, ELSEWHERE = Location("a", 1), Location("a", 2), Location("b", 3)
-SAFE = RequestClass("look", S, 3 * S, Effect.IDEMPOTENT)
-UNSAFE = RequestClass("pay", S, 3 * S, Effect.AT_MOST_ONCE)
+SAFE = RequestClass("look", S, 3 * S, Idempotency.IDEMPOTENT)
+UNSAFE = RequestClass("pay", S, 3 * S, Idempotency.NOT_IDEMPOTENT)
 
 
-def keyed(group: Group) -> RequestClass:
-    return RequestClass("hold", S, 3 * S, Effect.DEDUPLICATED, group, WINDOW_US)
+def keyed(deduplication_scope: DeduplicationScope) -> RequestClass:
+    return RequestClass("hold", S, 3 * S, Idempotency.WITH_KEY, deduplication_scope, WINDOW_US)
 
 
 def ended(outcome: Outcome | None, at_us: int = 10 * S, location: Location = HERE) -> Sent:
     return Sent(at_us, location, outcome)
 
 
-ONE_AT_A_TIME = Limits(second_copies=False)
-COPIES = Limits(second_copies=True)
+ONE_AT_A_TIME = Limits(hedging_allowed=False)
+COPIES = Limits(hedging_allowed=True)
 
 
 @pytest.mark.parametrize("outcome", list(Outcome))
 def test_unsafe_request_is_repeated_only_where_it_surely_never_ran(outcome: Outcome) -> None:
-    never_ran = outcome in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
+    never_ran = outcome in (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
     assert may_repeat(UNSAFE, COPIES, [ended(outcome)], HERE, 10 * S) is never_ran
 
 
 @pytest.mark.parametrize(
-    ("grade", "limits", "allowed"),
+    ("class_name", "limits", "allowed"),
     [
         (SAFE, COPIES, True),
         (SAFE, ONE_AT_A_TIME, False),
@@ -52,25 +53,31 @@
         (UNSAFE, ONE_AT_A_TIME, False),
     ],
 )
-def test_second_attempt_beside_one_that_is_out(grade: RequestClass, limits: Limits, allowed: bool) -> None:
-    assert may_repeat(grade, limits, [ended(None)], HERE, 10 * S) is allowed
+def test_second_attempt_beside_one_that_is_out(
+    class_name: RequestClass, limits: Limits, allowed: bool
+) -> None:
+    assert may_repeat(class_name, limits, [ended(None)], HERE, 10 * S) is allowed
 
 
-@pytest.mark.parametrize("group", list(Group))
-def test_keyed_request_stays_in_its_window_and_group(group: Group) -> None:
+@pytest.mark.parametrize("deduplication_scope", list(DeduplicationScope))
+def test_keyed_request_stays_in_its_window_and_group(deduplication_scope: DeduplicationScope) -> None:
     first = [ended(Outcome.TIMEOUT)]
     last_us = 10 * S + WINDOW_US - HELD_UP_US
-    assert may_repeat(keyed(group), ONE_AT_A_TIME, first, HERE, last_us)
-    assert not may_repeat(keyed(group), ONE_AT_A_TIME, first, HERE, last_us + 1)
-    assert may_repeat(keyed(group), ONE_AT_A_TIME, first, SAME_ZONE, last_us) is (group is not Group.CELL)
-    assert may_repeat(keyed(group), ONE_AT_A_TIME, first, ELSEWHERE, last_us) is (group is Group.ALL)
+    assert may_repeat(keyed(deduplication_scope), ONE_AT_A_TIME, first, HERE, last_us)
+    assert not may_repeat(keyed(deduplication_scope), ONE_AT_A_TIME, first, HERE, last_us + 1)
+    assert may_repeat(keyed(deduplication_scope), ONE_AT_A_TIME, first, SAME_ZONE, last_us) is (
+        deduplication_scope is not DeduplicationScope.CELL
+    )
+    assert may_repeat(keyed(deduplication_scope), ONE_AT_A_TIME, first, ELSEWHERE, last_us) is (
+        deduplication_scope is DeduplicationScope.ALL
+    )
 
 
 def test_window_counts_from_the_earliest_attempt_that_may_have_run() -> None:
-    sent = [ended(Outcome.FULL, 1 * S), ended(Outcome.TIMEOUT, 5 * S), ended(Outcome.ERROR, 6 * S)]
+    sent = [ended(Outcome.REJECTED, 1 * S), ended(Outcome.TIMEOUT, 5 * S), ended(Outcome.ERROR, 6 * S)]
     last_us = 5 * S + WINDOW_US - HELD_UP_US
-    assert may_repeat(keyed(Group.ALL), ONE_AT_A_TIME, sent, HERE, last_us)
-    assert not may_repeat(keyed(Group.ALL), ONE_AT_A_TIME, sent, HERE, last_us + 1)
+    assert may_repeat(keyed(DeduplicationScope.ALL), ONE_AT_A_TIME, sent, HERE, last_us)
+    assert not may_repeat(keyed(DeduplicationScope.ALL), ONE_AT_A_TIME, sent, HERE, last_us + 1)
 
 
 def test_broken_and_prevented_are_counted_apart_and_told(caplog: pytest.LogCaptureFixture) -> None:
@@ -92,12 +99,12 @@
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
             _, client = await one_attempt(sidecar, "pay")
-            (call,) = sidecar.host.requests
-            sidecar.host.hand_off(call, "s-1", 0)
-            sidecar.host.hand_off(call, "s-0", 0)
-            while len(sidecar.host.requests[call].attempts) < 3 or sidecar.host.requests[call].out > 1:
+            (call,) = sidecar.proxy.requests
+            sidecar.proxy.send_attempt(call, "s-1", 0)
+            sidecar.proxy.send_attempt(call, "s-0", 0)
+            while len(sidecar.proxy.requests[call].attempts) < 3 or sidecar.proxy.requests[call].out > 1:
                 await asyncio.sleep(0.01)
-            assert sidecar.host.invariants.prevented[Invariant.REPEATED_UNSAFELY] == 2
+            assert sidecar.proxy.invariants.prevented[Invariant.REPEATED_UNSAFELY] == 2
             assert all(fake.asked.empty() for fake in sidecar.endpoints)
             client.writer.close()
 
@@ -108,9 +115,9 @@
     async def test() -> None:
         async with Sidecar() as sidecar:
             asked, client = await one_attempt(sidecar)
-            (caller,) = sidecar.server.callers
+            (caller,) = sidecar.server.clients
             caller.close("a mistake")
-            assert sidecar.host.invariants.broken[Invariant.CLOSED_UNANSWERED] == 1
+            assert sidecar.proxy.invariants.broken[Invariant.CLOSED_UNANSWERED] == 1
             asked.reply()
             assert (await client.answer()).status == 200
 
@@ -129,4 +136,4 @@
     with caplog.at_level(logging.INFO):
         run(test())
     (line,) = [record.message for record in caplog.records if "request told" in record.message]
-    assert "answered 502" in line and " full " in line and " error " in line
+    assert "answered 502" in line and " rejected " in line and " error " in line
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -9,7 +9,7 @@
 
 ROOT = Path(__file__).parent.parent
 POLICY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text(encoding="utf-8"))["policy"]
-MAX_LINES = {"eiderhub/balancer.py": 700}  # blank lines do not count
+MAX_LINES = {"corkdoor/balancer.py": 700}  # blank lines do not count
 MAX_LINES_OF_A_CONCERN = 200
 
 
@@ -21,5 +21,5 @@
 
 
 def test_each_module_that_decides_is_listed() -> None:
-    found = {str(path.relative_to(ROOT)) for path in (ROOT / "eiderhub" / "policy").glob("*.py")}
+    found = {str(path.relative_to(ROOT)) for path in (ROOT / "corkdoor" / "policy").glob("*.py")}
     assert {name for name in POLICY if "policy/" in name} == found
--- a/tests/test_list_costs.py
+++ b/tests/test_list_costs.py
@@ -9,9 +9,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from eiderhub.balancer import Balancer
-from eiderhub.interface import Endpoint, ListForm, LoadReport, Outcome, Readiness
-from eiderhub.policy.pools import subset_size
+from corkdoor.balancer import Balancer
+from corkdoor.load_report import LoadReport
+from corkdoor.model import Endpoint, Outcome, Readiness, WatchEventKind
+from corkdoor.policy.pools import subset_size
 from tests.support import MS, Host, S, endpoints, settings
 
 FEW, MANY = 200, 3200
@@ -24,9 +25,9 @@
     """One endpoint after the other drains, goes, and is replaced: three messages a replacement."""
     for number, old in enumerate(listed):
         new = endpoints(1, start=10_000 + number)[0]
-        balancer.discovery(now, ListForm.DELTA, [old._replace(readiness=Readiness.DRAINING)])
-        balancer.discovery(now, ListForm.DELTA, [old._replace(readiness=Readiness.GONE)])
-        balancer.discovery(now, ListForm.DELTA, [new])
+        balancer.on_watch_event(now, WatchEventKind.DELTA, [old._replace(readiness=Readiness.DRAINING)])
+        balancer.on_watch_event(now, WatchEventKind.DELTA, [old._replace(readiness=Readiness.REMOVED)])
+        balancer.on_watch_event(now, WatchEventKind.DELTA, [new])
         now += 10_000
 
 
@@ -35,7 +36,7 @@
     listed = [e._replace(zone="east" if n % 2 else "west") for n, e in enumerate(endpoints(size))]
     costs = []
     for _ in range(REPEATS):
-        host = Host(settings(balancers=40), listed)
+        host = Host(settings(instance_count=40), listed)
         begun = time.process_time()
         replaced(host.balancer, host.now + S, listed[: CHANGES // 3])
         costs.append(time.process_time() - begun)
@@ -49,10 +50,10 @@
 def cost_of_no_news_s(size: int) -> float:
     costs = []
     for _ in range(REPEATS):
-        host = Host(settings(balancers=40), endpoints(size))
+        host = Host(settings(instance_count=40), endpoints(size))
         begun = time.process_time()
         for _ in range(CHANGES):
-            host.balancer.discovery(host.now, ListForm.DELTA, [])
+            host.balancer.on_watch_event(host.now, WatchEventKind.DELTA, [])
         costs.append(time.process_time() - begun)
     return min(costs)
 
@@ -65,21 +66,21 @@
 def test_part_in_use_is_that_of_all_members_however_it_is_summed(seed: int) -> None:
     """Cold, ejected, crowded and quiet endpoints: those that are kept apart are all that count."""
     draw = random.Random(seed)
-    host = Host(settings(balancers=2), endpoints(40), seed=seed)
+    host = Host(settings(instance_count=2), endpoints(40), seed=seed)
     balancer = host.balancer
     for _ in range(60):
         host.advance(draw.randrange(800 * MS))
         if draw.random() < 0.2:
             launched = host.now - draw.randrange(12 * S)
             changed = endpoints(1, start=draw.randrange(45), launched=launched)
-            balancer.discovery(host.now, ListForm.DELTA, changed)
+            balancer.on_watch_event(host.now, WatchEventKind.DELTA, changed)
         for _ in range(draw.randrange(12)):
-            host.order()
-        for call in [c for c in host.sent if c in balancer.calls and draw.random() < 0.6]:
-            if balancer.calls[call].outstanding:
+            host.submit()
+        for call in [c for c in host.sent if c in balancer.requests and draw.random() < 0.6]:
+            if balancer.requests[call].outstanding:
                 outcome = draw.choice((Outcome.OK, Outcome.OK, Outcome.ERROR, Outcome.TIMEOUT))
                 report = LoadReport(draw.randrange(30), 10.0, draw.randrange(1, 2 * S))
-                host.reply(call, outcome, attempt=max(balancer.calls[call].outstanding), load=report)
+                host.end_attempt(call, outcome, attempt=max(balancer.requests[call].outstanding), load=report)
         for pool in balancer.placement["look"].pools:
             if members := pool.subset.members:
                 parts = [balancer.part(host.now, e, balancer.warmth(host.now, e)) for e in members]
--- a/tests/test_list_freshness.py
+++ b/tests/test_list_freshness.py
@@ -6,10 +6,11 @@
 
 import pytest
 
-from eiderhub.interface import Discovery, ListForm, Rules
-from eiderhub.policy import list_freshness
-from eiderhub.policy.list_freshness import MOVED_AFTER_US, NEVER_US, TOLD_AFTER_US, ListFreshness
-from eiderhub.sidecar.invariants import Invariant
+from corkdoor.model import DiscoveryMode, WatchEventKind
+from corkdoor.policy import list_freshness
+from corkdoor.policy.list_freshness import MOVED_AFTER_US, NEVER_US, TOLD_AFTER_US, ListFreshness
+from corkdoor.settings import LifecycleRules
+from corkdoor.sidecar.invariants import Invariant
 from tests.sidecar_support import Sidecar, listing, row, run
 from tests.support import MS, S, settings
 
@@ -17,8 +18,10 @@
 NOW = 1_000 * S
 
 
-def freshness(form: Discovery = Discovery.ASK) -> ListFreshness:
-    return ListFreshness(settings(discovery=form, rules=Rules(drain_grace_us=GRACE_US)), NOW)
+def freshness(form: DiscoveryMode = DiscoveryMode.POLL) -> ListFreshness:
+    return ListFreshness(
+        settings(discovery_mode=form, lifecycle=LifecycleRules(drain_grace_us=GRACE_US)), NOW
+    )
 
 
 def test_nothing_is_missed_while_a_watch_is_open() -> None:
@@ -33,7 +36,7 @@
     fresh = freshness()
     fresh.told(NOW, bare=False)
     for at in range(1, 4):
-        fresh.failed(NOW + at * S, ListForm.REFUSED, 30 * MS)
+        fresh.failed(NOW + at * S, WatchEventKind.REJECTED, 30 * MS)
     assert fresh.age_us(NOW + 5 * S) == 5 * S
     assert fresh.failures == 3
     assert fresh.counts_as_told_us() == NOW + TOLD_AFTER_US
@@ -48,21 +51,21 @@
     assert fresh.counts_as_told_us() == NOW + 1 * S + TOLD_AFTER_US  # the watch told all up to the move
     fresh.moved(NOW + 4 * S)
     assert fresh.counts_as_told_us() == NOW + 4 * S + MOVED_AFTER_US
-    fresh.failed(NOW + 9 * S, ListForm.FAILED, 5 * MS)
+    fresh.failed(NOW + 9 * S, WatchEventKind.FAILED, 5 * MS)
     assert fresh.counts_as_told_us() == NOW + 9 * S + TOLD_AFTER_US
 
 
 def test_a_watch_that_is_reset_told_all_until_then() -> None:
     fresh = freshness()
     fresh.told(NOW, bare=False)
-    fresh.failed(NOW + 8 * S, ListForm.FAILED, 8 * S)
+    fresh.failed(NOW + 8 * S, WatchEventKind.FAILED, 8 * S)
     assert fresh.age_us(NOW + 9 * S) == 1 * S
 
 
 def test_pushed_lists_count_as_told_at_once() -> None:
-    fresh = freshness(Discovery.PUSH)
+    fresh = freshness(DiscoveryMode.PUSH)
     fresh.told(NOW, bare=False)
-    fresh.failed(NOW + 1 * S, ListForm.LOST, 1 * S)
+    fresh.failed(NOW + 1 * S, WatchEventKind.LOST, 1 * S)
     assert fresh.counts_as_told_us() == NOW
 
 
@@ -84,11 +87,11 @@
             await client.answer()
             asking.reply(200, listing(9, False, row("s-0", sidecar.endpoints[0].address, "draining")))
             await sidecar.discovery.next()
-            found = sidecar.host.invariants.possible
+            found = sidecar.proxy.invariants.possible
             assert found == ({Invariant.SENT_UNTOLD: 1} if late else {})
-            report = sidecar.host.report()
+            report = sidecar.proxy.report()
             assert ("possible sent_untold 1" in report) is late
-            assert "list refused 1" in report and "list delta 1" in report
+            assert "list rejected 1" in report and "list delta 1" in report
             await asyncio.sleep(0)
 
     run(test())
--- a/tests/test_live_settings.py
+++ b/tests/test_live_settings.py
@@ -13,11 +13,11 @@
 
 import pytest
 
-from eiderhub.settings import settings_from
-from eiderhub.sidecar import server
-from eiderhub.sidecar.bounds import Bounds
-from eiderhub.sidecar.config import Config, ConfigError, load
-from eiderhub.sidecar.upstream import Connection, Upstream
+from corkdoor.settings_reader import read_settings
+from corkdoor.sidecar import server
+from corkdoor.sidecar.bounds import Bounds
+from corkdoor.sidecar.config import Config, ConfigError, load
+from corkdoor.sidecar.upstream import Connection, Upstream
 from tests.sidecar_support import SETUP, Client, Fake, Program, Sidecar, listing, program, ready, row, run
 from tests.test_crowding import arrivals
 
@@ -27,9 +27,9 @@
 
 def changed(sidecar: Sidecar, digest: str = "d1", bounds: Bounds | None = None, **settings: Any) -> Config:
     """The configuration in force, but for these settings."""
-    now = sidecar.host.config
+    now = sidecar.proxy.config
     setup = {**sidecar.setup, **settings}
-    return replace(now, settings=settings_from(setup), digest=digest, bounds=bounds or now.bounds)
+    return replace(now, settings=read_settings(setup), digest=digest, bounds=bounds or now.bounds)
 
 
 def reload(sidecar: Sidecar, **changes: Any) -> None:
@@ -50,7 +50,7 @@
             for client in clients:
                 client.send()
             out = [await queue.get() for _ in clients]
-            opened = sidecar.host.upstream.open
+            opened = sidecar.proxy.upstream.open
             variants: list[dict[str, Any]] = [
                 without_pay(),
                 {"Categories": [{**PAY, "Effect": "idempotent", "AimUs": 500_000}, NEW]},
@@ -63,9 +63,9 @@
                     asked.reply()
             reload(sidecar, digest="last")
             assert [(await client.answer()).status for client in clients] == [200] * 200
-            assert sidecar.host.changes == 21
-            assert len(sidecar.server.callers) == 200
-            assert sidecar.host.upstream.open == opened
+            assert sidecar.proxy.changes == 21
+            assert len(sidecar.server.clients) == 200
+            assert sidecar.proxy.upstream.open == opened
             assert queue.empty()
             for client in clients:  # what comes next on each connection is the next answer
                 client.send()
@@ -73,7 +73,7 @@
                 (await queue.get()).reply(200, b"next")
             assert {(await client.answer()).body for client in clients} == {b"next"}
             assert all(fake.ends.empty() for fake in sidecar.endpoints)
-            assert not sidecar.host.requests
+            assert not sidecar.proxy.requests
 
     run(test())
 
@@ -82,12 +82,12 @@
     async def test() -> None:
         async with Sidecar() as sidecar:
             clients = [await sidecar.client() for _ in range(30)]
-            queue = sidecar.host.balancer.queue
+            queue = sidecar.proxy.balancer.queue
             sent = []
             for client in clients:
                 client.send()
                 sent.append(client)
-                while len(sidecar.host.requests) < len(sent):
+                while len(sidecar.proxy.requests) < len(sent):
                     await asyncio.sleep(0.001)
                 if queue.count == 2:
                     break
@@ -95,7 +95,7 @@
             reload(sidecar, **without_pay())
             other = await sidecar.client()
             assert (await other.ask()).status == 404
-            assert (queue.count, len(sidecar.host.requests)) == (2, len(sent))
+            assert (queue.count, len(sidecar.proxy.requests)) == (2, len(sent))
             for _ in sent:
                 (await sidecar.endpoints[0].next()).reply()
             assert [(await client.answer()).status for client in sent] == [200] * len(sent)
@@ -146,7 +146,7 @@
             assert (await client.answer()).status == 200
             reload(sidecar, Allowed={**SETUP["Allowed"], "ConnIdleUs": 20_000})
             assert await sidecar.endpoints[0].ends.get() == 0
-            assert sidecar.host.balancer.idle.closed_us == 20_000
+            assert sidecar.proxy.balancer.idle.closed_us == 20_000
 
     run(test())
 
@@ -162,7 +162,7 @@
             reload(sidecar, Allowed={**SETUP["Allowed"], "ConnectTimeoutUs": 20_000})
             client = await sidecar.client()
             assert (await client.ask(deadline_ms=60_000)).status == 503
-            assert sidecar.host.tally["connect_failed"]
+            assert sidecar.proxy.tally["connect_failed"]
 
     run(test())
 
@@ -176,21 +176,21 @@
                 client.send()
                 asked.append(await sidecar.endpoints[0].next())
             silent = [await sidecar.client() for _ in range(3)]
-            while len(sidecar.server.callers) < 6:
+            while len(sidecar.server.clients) < 6:
                 await asyncio.sleep(0.001)
             reload(sidecar, bounds=Bounds(2, 400, 1 << 24))
             for client in silent:
                 assert await client.reader.read() == b""
             late = await sidecar.client()
             assert await late.reader.read() == b""
-            assert len(sidecar.server.callers) == 3
+            assert len(sidecar.server.clients) == 3
             for one in asked:
                 one.reply()
             answers = [await client.answer() for client in busy]
             assert [answer.status for answer in answers] == [200] * 3
             closed = ["connection" in answer.headers for answer in answers]
             assert sorted(closed) == [False, False, True]
-            while len(sidecar.server.callers) > 2:
+            while len(sidecar.server.clients) > 2:
                 await asyncio.sleep(0.001)
             reload(sidecar, bounds=Bounds(6, 400, 1 << 24))
             more = await sidecar.client()
@@ -213,13 +213,13 @@
                 assert (await client.answer()).status == 200
             monkeypatch.setattr(server, "SPARE_S", 3600.0)  # all have been in use just now
             reload(sidecar, bounds=Bounds(2, 400, 1 << 24))
-            assert len(sidecar.server.callers) == 4
+            assert len(sidecar.server.clients) == 4
             monkeypatch.setattr(server, "SPARE_S", 0.0)
             late = await sidecar.client()
             late.send()
             (await sidecar.endpoints[0].next()).reply()
             assert (await late.answer()).status == 200
-            assert len(sidecar.server.callers) == 2
+            assert len(sidecar.server.clients) == 2
 
     run(test())
 
@@ -227,7 +227,7 @@
 def test_connections_to_endpoints_past_a_lowered_bound_are_closed_but_for_those_in_use() -> None:
     async def test() -> None:
         async with Sidecar() as sidecar:
-            fake, upstream = sidecar.endpoints[0], sidecar.host.upstream
+            fake, upstream = sidecar.endpoints[0], sidecar.proxy.upstream
             clients = [await sidecar.client() for _ in range(4)]
             asked = []
             for client in clients:
@@ -238,7 +238,7 @@
             assert upstream.open == 4
             reload(sidecar, bounds=Bounds(500, 2, 1 << 20))
             assert await fake.ends.get() == asked[0].connection  # the idle one
-            assert (upstream.open, sidecar.host.budget.most) == (3, 1 << 20)
+            assert (upstream.open, sidecar.proxy.budget.most) == (3, 1 << 20)
             assert (await clients[0].ask()).status == 503  # no room for one more, and it was sent nowhere
             for one in asked[1:]:
                 one.reply()
@@ -274,9 +274,11 @@
 ) -> None:
     async def test() -> None:
         async with Sidecar() as sidecar:
-            monkeypatch.setattr(sidecar.host, "timer", lambda delay_us, mark: None)  # it never falls due
+            monkeypatch.setattr(
+                sidecar.proxy, "start_timer", lambda delay_us, timer: None
+            )  # it never falls due
             (await sidecar.discovery.next()).reply(503, b"")
-            while sidecar.host.balancer.asking.ask_at < 0:
+            while sidecar.proxy.balancer.discovery.ask_at < 0:
                 await asyncio.sleep(0.001)
             reload(sidecar, Discovery="push")
             await sidecar.discovery.next()
@@ -287,11 +289,11 @@
 def test_the_same_settings_touch_nothing_in_the_module(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         async with Sidecar() as sidecar:
-            monkeypatch.setattr(sidecar.host.balancer, "reconfigure", None)
-            version = sidecar.host.version()
-            sidecar.server.reload(changed(sidecar, digest=sidecar.host.config.digest))
-            assert sidecar.host.version() == version
-            assert version in sidecar.host.report()
+            monkeypatch.setattr(sidecar.proxy.balancer, "reconfigure", None)
+            version = sidecar.proxy.version()
+            sidecar.server.reload(changed(sidecar, digest=sidecar.proxy.config.digest))
+            assert sidecar.proxy.version() == version
+            assert version in sidecar.proxy.report()
 
     run(test())
 
@@ -302,18 +304,18 @@
         async with Sidecar() as sidecar:
             config = changed(sidecar, bounds=Bounds(7, 7, 7), **without_pay())
             if key == "Layer":
-                config = replace(config, settings=replace(config.settings, layer=1, tiers=2))
+                config = replace(config, settings=replace(config.settings, layer=1, layer_count=2))
             elif key == "name":
                 config = replace(config, name="n1")
             else:
                 config = replace(config, listen=replace(config.listen, port=1))
             config = replace(config, discovery=replace(config.discovery, port=1), seed=9)
-            before = sidecar.host.config, sidecar.host.balancer.settings
+            before = sidecar.proxy.config, sidecar.proxy.balancer.settings
             with pytest.raises(ConfigError, match=f"{key}: .* can't become .* while the process runs"):
                 sidecar.server.reload(config)
-            assert (sidecar.host.config, sidecar.host.balancer.settings) == before
-            assert (sidecar.server.most, sidecar.host.upstream.most) == (500, 400)
-            assert sidecar.host.watcher.port == before[0].discovery.port
+            assert (sidecar.proxy.config, sidecar.proxy.balancer.settings) == before
+            assert (sidecar.server.most, sidecar.proxy.upstream.most) == (500, 400)
+            assert sidecar.proxy.watcher.port == before[0].discovery.port
             client = await sidecar.client()
             client.send()
             (await sidecar.endpoints[0].next()).reply()
@@ -359,9 +361,9 @@
     running.process.send_signal(signal.SIGHUP)
 
 
-async def served_once(running: Program, grade: str) -> int:
+async def served_once(running: Program, class_name: str) -> int:
     client = await running.client()
-    status = (await client.ask(grade)).status
+    status = (await client.ask(class_name)).status
     client.writer.close()
     return status
 
--- a/tests/test_pipelining.py
+++ b/tests/test_pipelining.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from eiderhub.sidecar import server
+from corkdoor.sidecar import server
 from tests.sidecar_support import Client, Sidecar, run
 
 LONG_MS = 60_000
@@ -21,9 +21,9 @@
         asked.reply(200, asked.message.headers["req-id"].encode())
 
 
-def send_at_once(client: Client, count: int, grade: str = "pay", body: bytes = b"x") -> None:
+def send_at_once(client: Client, count: int, class_name: str = "pay", body: bytes = b"x") -> None:
     for number in range(count):
-        client.send(grade, deadline_ms=LONG_MS, body=body, request_id=f"n-{number}")
+        client.send(class_name, deadline_ms=LONG_MS, body=body, request_id=f"n-{number}")
 
 
 @pytest.mark.parametrize("count", [3, 5, 8, 20, 300])
@@ -37,7 +37,7 @@
             for number in range(count):
                 answer = await client.answer()
                 assert (answer.status, answer.body) == (200, f"n-{number}".encode())
-            assert sidecar.host.budget.held == 0
+            assert sidecar.proxy.budget.held == 0
             serving.cancel()
 
     run(test(), 30.0)
@@ -51,16 +51,16 @@
             client = await sidecar.client()
             send_at_once(client, 300)
             await sidecar.endpoints[0].next()
-            (caller,) = sidecar.server.callers
+            (caller,) = sidecar.server.clients
             while not caller.paused:
                 await asyncio.sleep(0.01)
             assert len(caller.waiting) < server.MAX_WAITING + server.PARSED_AT_ONCE // len(
                 "GET /a HTTP/1.1\r\n\r\n"
             )
             client.writer.close()
-            while sidecar.server.callers:
+            while sidecar.server.clients:
                 await asyncio.sleep(0.01)
-            assert sidecar.host.budget.held == 0
+            assert sidecar.proxy.budget.held == 0
             assert sidecar.endpoints[0].asked.empty()
 
     run(test())
@@ -99,7 +99,7 @@
                 answers += 1
             assert answer.status == 400
             assert await client.reader.read() == b""
-            assert sidecar.host.budget.held == 0
+            assert sidecar.proxy.budget.held == 0
             serving.cancel()
 
     run(test())
@@ -141,7 +141,7 @@
                 answer = await client.answer()
                 assert (answer.status, answer.body) == (200, f"n-{number}".encode())
             await sending
-            assert sidecar.host.budget.held == 0
+            assert sidecar.proxy.budget.held == 0
             serving.cancel()
 
     run(test(), 30.0)
@@ -153,10 +153,10 @@
         await client.writer.drain()
 
 
-async def unread_answers(sidecar: Sidecar, client: Client) -> server.CallerConnection:
+async def unread_answers(sidecar: Sidecar, client: Client) -> server.ClientConnection:
     """Let answers pile up until the sidecar reads no more from the client."""
     client.writer.transport.pause_reading()  # type: ignore[attr-defined]
-    (caller,) = sidecar.server.callers
+    (caller,) = sidecar.server.clients
     while not caller.stuck:
         client.send(request_id=f"big-{client.serial}", deadline_ms=LONG_MS)
         (await sidecar.endpoints[0].next()).reply(200, b"x" * 65_000)
@@ -197,7 +197,7 @@
         async with Sidecar() as sidecar:
             client = await sidecar.client()
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
-            (caller,) = sidecar.server.callers
+            (caller,) = sidecar.server.clients
             while not caller.transport.unsent():
                 client.send(request_id=f"big-{client.serial}", deadline_ms=LONG_MS)
                 (await sidecar.endpoints[0].next()).reply(200, b"x" * 30_000)
@@ -206,7 +206,7 @@
             sidecar.server.leaving = True
             client.send(request_id="last", deadline_ms=LONG_MS)
             (await sidecar.endpoints[0].next()).reply(200, b"x" * 30_000)
-            while sidecar.server.callers:
+            while sidecar.server.clients:
                 await asyncio.sleep(0.01)
 
     run(test())
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from eiderhub.policy.watch_waits import FIRST_MS, LONGEST_MS
-from eiderhub.sidecar.config import Address
+from corkdoor.policy.watch_timeout import FIRST_MS, LONGEST_MS
+from corkdoor.sidecar.config import Address
 from tests.sidecar_support import Fake, Sidecar, listing, program, row, run
 
 
@@ -25,12 +25,12 @@
             await sidecar.discovery.next()
             other = await Fake().start()
             host, _, port = other.address.rpartition(":")
-            sidecar.host.watcher.move(host, int(port))
-            sidecar.host.watcher.turn(True)
+            sidecar.proxy.watcher.move(host, int(port))
+            sidecar.proxy.watcher.turn(True)
             await sidecar.discovery.ends.get()  # the old watch is closed
             asked = await other.next()
             assert asked.message.first == "GET /discovery/hosts HTTP/1.1"
-            assert all(pool.ready for pool in sidecar.host.upstream.pools.values())
+            assert all(pool.ready for pool in sidecar.proxy.upstream.pools.values())
             asked.reply(200, listing(4, True, row("s-0", stays.address)))
             assert (await other.next()).message.first.startswith("GET /discovery/hosts?after=4&")
             client = await sidecar.client()
@@ -50,8 +50,8 @@
         async with Sidecar() as sidecar:
             other = await Fake().start()
             host, _, port = other.address.rpartition(":")
-            sidecar.host.balancer.asking.renewal.slowest = 60_000_000  # as after a long outage
-            sidecar.host.reload(replace(sidecar.config, discovery=Address(host, int(port))))
+            sidecar.proxy.balancer.discovery.renewal.slowest = 60_000_000  # as after a long outage
+            sidecar.proxy.reload(replace(sidecar.config, discovery=Address(host, int(port))))
             begun = time.monotonic()
             for _ in range(2):
                 (await other.next()).reply(503, b"")
@@ -79,7 +79,7 @@
             assert again.message.first.startswith("GET /discovery/hosts?after=1&")
             again.reply(200, body)
             await sidecar.discovery.next()
-            assert list(sidecar.host.upstream.pools) == ["s-0"]
+            assert list(sidecar.proxy.upstream.pools) == ["s-0"]
             assert goes.asked.empty()
 
     run(test())
@@ -108,7 +108,7 @@
     async def test() -> None:
         async with Sidecar() as sidecar:
             await sidecar.discovery.next()
-            watcher = sidecar.host.watcher
+            watcher = sidecar.proxy.watcher
             for _ in range(3):  # in a row, before any has been answered
                 watcher.move(watcher.host, watcher.port)
                 watcher.turn(True)
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -13,13 +13,13 @@
 
 import pytest
 
-from eiderhub.interface import ListForm, Readiness
-from eiderhub.settings import settings_from
-from eiderhub.sidecar import __main__ as entry
-from eiderhub.sidecar import host as hosting
-from eiderhub.sidecar.clock import Alarm, now_us
-from eiderhub.sidecar.discovery import read_listing
-from eiderhub.sidecar.host import Request
+from corkdoor.model import Readiness, WatchEventKind
+from corkdoor.settings_reader import read_settings
+from corkdoor.sidecar import __main__ as entry
+from corkdoor.sidecar import proxied_request
+from corkdoor.sidecar.clock import Alarm, now_us
+from corkdoor.sidecar.discovery import read_endpoint_list
+from corkdoor.sidecar.proxied_request import ProxiedRequest
 from tests.sidecar_support import (
     SETUP,
     Fake,
@@ -49,11 +49,11 @@
         return "d1"
 
 
-def direct(caller: Answers, grade: str = "pay") -> Request:
+def direct(caller: Answers, class_name: str = "pay") -> ProxiedRequest:
     """A request as the server hands it over; its head only has to end where the deadline's value follows."""
     head = b"POST /pay HTTP/1.1\r\nHost: e\r\nReq-Id: d1\r\nContent-Length: 0\r\n"
-    chosen = next(c for c in settings_from(SETUP).classes if c.name == grade)
-    return Request(caller, chosen, "acme", None, now_us() + 2_000_000, head, b"")
+    chosen = next(c for c in read_settings(SETUP).classes if c.name == class_name)
+    return ProxiedRequest(caller, chosen, "acme", None, now_us() + 2_000_000, head, b"")
 
 
 # --- what passes through ---
@@ -144,7 +144,7 @@
 # --- the module fails ---
 
 
-@pytest.mark.parametrize("event", ["order", "reply"])
+@pytest.mark.parametrize("event", ["on_request", "on_attempt_end"])
 def test_exception_in_the_module_fails_the_request_and_nothing_else(
     event: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -155,15 +155,15 @@
         async with Sidecar() as sidecar:
             client = await sidecar.client()
             with monkeypatch.context() as patch:
-                patch.setattr(sidecar.host.balancer, event, broken)
+                patch.setattr(sidecar.proxy.balancer, event, broken)
                 client.send()
-                if event == "reply":
+                if event == "on_attempt_end":
                     (await sidecar.endpoints[0].next()).reply(500)
                 assert (await client.answer()).status == 500
             client.send()
             (await sidecar.endpoints[0].next()).reply()
             assert (await client.answer()).status == 200
-            assert not sidecar.host.requests
+            assert not sidecar.proxy.requests
 
     run(test())
 
@@ -173,9 +173,9 @@
 ) -> None:
     async def test() -> None:
         async with Sidecar() as sidecar:
-            monkeypatch.setattr(hosting, "ANSWER_MARGIN_US", 1_800_000)
-            monkeypatch.setattr(hosting, "MARGIN_SHARE", 1.0)
-            monkeypatch.setattr(sidecar.host.balancer, "order", lambda *_: None)
+            monkeypatch.setattr(proxied_request, "ANSWER_MARGIN_US", 1_800_000)
+            monkeypatch.setattr(proxied_request, "MARGIN_SHARE", 1.0)
+            monkeypatch.setattr(sidecar.proxy.balancer, "on_request", lambda *_: None)
             begun = time.monotonic()
             assert (await (await sidecar.client()).ask(deadline_ms=2000)).status == 504
             assert time.monotonic() - begun < 1.5
@@ -285,9 +285,9 @@
     async def test() -> None:
         async with Sidecar() as sidecar:
             caller = Answers()
-            sidecar.host.take(direct(caller))
-            listed = read_listing(json.loads(listing(2, False, row("s-0", "127.0.0.1:1", "draining"))))
-            sidecar.host.on_list(ListForm.DELTA, listed.entries)
+            sidecar.proxy.take(direct(caller))
+            listed = read_endpoint_list(json.loads(listing(2, False, row("s-0", "127.0.0.1:1", "draining"))))
+            sidecar.proxy.on_list(WatchEventKind.DELTA, listed.entries)
             assert await caller.all.get() == 503
             assert sidecar.endpoints[0].asked.empty()
 
@@ -297,12 +297,12 @@
 def test_start_of_an_endpoint_is_told_on_the_monotonic_clock() -> None:
     started_ms = time.time_ns() // 1_000_000 - 2000
     document = json.loads(listing(1, True, row("s-0", "127.0.0.1:80", started_ms=started_ms)))
-    first, second = (read_listing(document).entries[0].endpoint for _ in range(2))
-    assert first.launched_us == second.launched_us  # a change would look like another restart
-    assert abs(now_us() - first.launched_us - 2_000_000) < 1_000_000
+    first, second = (read_endpoint_list(document).entries[0].endpoint for _ in range(2))
+    assert first.started_us == second.started_us  # a change would look like another restart
+    assert abs(now_us() - first.started_us - 2_000_000) < 1_000_000
     assert first.readiness is Readiness.READY
     long_ago = json.loads(listing(1, True, row("s-0", "127.0.0.1:80")))
-    assert read_listing(long_ago).entries[0].endpoint.launched_us == 0
+    assert read_endpoint_list(long_ago).entries[0].endpoint.started_us == 0
 
 
 def test_alarms_never_ring_early() -> None:
@@ -409,8 +409,8 @@
                 client.send("pay")
                 (await sidecar.endpoints[0].next()).reply()
                 assert (await client.answer()).status == 200
-            line = sidecar.host.report()
+            line = sidecar.proxy.report()
             assert "200 2, ok 2; opened 1, reused 1;" in line
-            assert "200 2" not in sidecar.host.report()
+            assert "200 2" not in sidecar.proxy.report()
 
     run(test())
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from eiderhub.sidecar.signals import CHECK_S, SignalActions
+from corkdoor.sidecar.signals import CHECK_S, SignalActions
 from tests.sidecar_support import run
 
 
--- a/tests/test_wirehost.py
+++ b/tests/test_simulator.py
@@ -11,9 +11,9 @@
 
 import pytest
 
-from eiderhub.interface import Discovery, Effect, Group
-from eiderhub.settings import settings_from
-from eiderhub.wirehost import WireError, WireHost
+from corkdoor.model import DeduplicationScope, DiscoveryMode, Idempotency
+from corkdoor.settings_reader import read_settings
+from corkdoor.simulator import ProtocolError, SimulatorAdapter
 
 
 def setup(**changes: Any) -> dict[str, Any]:
@@ -63,7 +63,7 @@
 
 def play(lines: list[str]) -> list[str]:
     sink = io.StringIO()
-    WireHost(io.StringIO("".join(line + "\n" for line in lines)), sink).run()
+    SimulatorAdapter(io.StringIO("".join(line + "\n" for line in lines)), sink).run()
     return sink.getvalue().splitlines()
 
 
@@ -114,7 +114,7 @@
     sent = play([*START, "sync 2000", order, "over_to_you"])
     endpoint = next(line.split()[3] for line in sent if line.startswith("hand_off"))
     reply = f"reply sidecar_0 00aa 0 {endpoint} 500 1 10 pending:1,served_ps:9.5,svc_ms:12.5"
-    host = WireHost(
+    host = SimulatorAdapter(
         io.StringIO(
             "\n".join([*START, "sync 2000", order, "over_to_you", "sync 3000", reply, "over_to_you", ""])
         ),
@@ -152,7 +152,7 @@
 def test_malformed_input_names_line_and_reason(line: str, reason: str) -> None:
     text = "".join(part + "\n" for part in [*START, "sync 2000", line, "over_to_you"])
     ended = subprocess.run(
-        [sys.executable, "-m", "eiderhub.wirehost"], input=text, capture_output=True, text=True, check=False
+        [sys.executable, "-m", "corkdoor.simulator"], input=text, capture_output=True, text=True, check=False
     )
     assert ended.returncode == 1
     assert len(ended.stderr.splitlines()) == 1
@@ -165,13 +165,13 @@
     "cut", [["sync 2000"], ["sync 2000", "manifest 0 2", "row 10.0.0.1:80 e s 0 ready 1 -"]]
 )
 def test_truncated_batch_is_an_error(cut: list[str]) -> None:
-    with pytest.raises(WireError, match="ends inside"):
+    with pytest.raises(ProtocolError, match="ends inside"):
         play(START + cut)
 
 
 def test_end_of_input_is_a_good_end() -> None:
     ended = subprocess.run(
-        [sys.executable, "-m", "eiderhub.wirehost"], input="", capture_output=True, text=True, check=False
+        [sys.executable, "-m", "corkdoor.simulator"], input="", capture_output=True, text=True, check=False
     )
     assert (ended.returncode, ended.stdout, ended.stderr) == (0, "", "")
 
@@ -187,7 +187,7 @@
     text = "".join(line + "\n" for line in lines)
     outputs = {
         subprocess.run(
-            [sys.executable, "-m", "eiderhub.wirehost"],
+            [sys.executable, "-m", "corkdoor.simulator"],
             input=text,
             capture_output=True,
             text=True,
@@ -200,20 +200,20 @@
 
 
 def test_settings_are_read_and_unknown_keys_skipped() -> None:
-    read = settings_from(setup())
-    assert read.classes[1].effect is Effect.DEDUPLICATED
-    assert read.classes[1].group is Group.ZONE
-    assert (read.rank, read.balancers, read.tiers, read.zone) == (1, 2, 2, "east")
-    assert read.prices.cross_zone == 0.1
-    assert read.discovery is Discovery.PUSH
-    assert (read.goal.by_worth, read.goal.by_class) == (0.5, 0.5)
-    assert read.classes[0].stays_in is None
-    assert read.classes[1].stays_in == frozenset(("east",))
-    assert read.classes[1].served_on == frozenset(("std",))
-    assert read.limits.conn_idle_us == 9_000_000
-    bare = settings_from({"Categories": setup()["Categories"][:1]})
+    read = read_settings(setup())
+    assert read.classes[1].idempotency is Idempotency.WITH_KEY
+    assert read.classes[1].deduplication_scope is DeduplicationScope.ZONE
+    assert (read.instance_index, read.instance_count, read.layer_count, read.zone) == (1, 2, 2, "east")
+    assert read.costs.cross_zone == 0.1
+    assert read.discovery_mode is DiscoveryMode.PUSH
+    assert (read.objective.request_weight, read.objective.class_weight) == (0.5, 0.5)
+    assert read.classes[0].allowed_zones is None
+    assert read.classes[1].allowed_zones == frozenset(("east",))
+    assert read.classes[1].allowed_machine_types == frozenset(("std",))
+    assert read.limits.idle_connection_us == 9_000_000
+    bare = read_settings({"Categories": setup()["Categories"][:1]})
     assert bare.tenants == ()
-    assert bare.limits.second_copies is False
+    assert bare.limits.hedging_allowed is False
 
 
 @pytest.mark.parametrize(
@@ -237,4 +237,4 @@
 )
 def test_impossible_settings_name_their_key(changes: dict[str, Any], key: str) -> None:
     with pytest.raises(ValueError, match=key):
-        settings_from(setup(**changes))
+        read_settings(setup(**changes))
--- a/tests/test_stalled_callers.py
+++ b/tests/test_stalled_callers.py
@@ -7,11 +7,11 @@
 
 import pytest
 
-from eiderhub.sidecar import server
+from corkdoor.sidecar import server
 from tests.sidecar_support import SETUP, Client, Sidecar, run
 
 ALLOWED_S = 3.0  # bad clients are owed their error or close within so long
-LONG_DEADLINES = [{**grade, "DeadlineUs": 12_000_000} for grade in SETUP["Categories"]]
+LONG_DEADLINES = [{**class_name, "DeadlineUs": 12_000_000} for class_name in SETUP["Categories"]]
 HEAD = b"POST /pay/a HTTP/1.1\r\nHost: a\r\nReq-Id: stalls\r\nReq-Owner: acme\r\nReq-Deadline-Ms: 9000\r\n"
 WHOLE = HEAD + b"Content-Length: 4\r\n\r\nbody"
 
@@ -62,7 +62,7 @@
 
     async def test() -> None:
         monkeypatch.setattr(server, "CHECK_S", 0.02)
-        shorter = [{**grade, "DeadlineUs": 1_000_000} for grade in SETUP["Categories"]]
+        shorter = [{**class_name, "DeadlineUs": 1_000_000} for class_name in SETUP["Categories"]]
         async with Sidecar(Categories=shorter) as sidecar:
             client = await served_once(sidecar)
             begun = time.monotonic()
@@ -79,7 +79,7 @@
 
 def test_caller_that_writes_slowly_is_served_where_deadlines_are_short() -> None:
     """Found by the soak: a request that took longer to write than any deadline was answered 408."""
-    short = [{**grade, "AimUs": 100_000, "DeadlineUs": 300_000} for grade in SETUP["Categories"]]
+    short = [{**class_name, "AimUs": 100_000, "DeadlineUs": 300_000} for class_name in SETUP["Categories"]]
 
     async def test() -> None:
         async with Sidecar(Categories=short) as sidecar:
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -115,12 +115,12 @@
         process = subprocess.Popen(["/bin/sh", "-c", run_command()], cwd=ROOT, env=environ)
         try:
             await asyncio.sleep(0.01)  # the shell itself has begun: before that nothing could be asked of it
-            asking = asyncio.create_task(reloads_until_ready(process, address))
+            discovery = asyncio.create_task(reloads_until_ready(process, address))
             await asyncio.sleep(replaced_after_s)
             path.with_suffix(".new").write_text(json.dumps(other), encoding="utf-8")
             path.with_suffix(".new").replace(path)
             process.send_signal(signal.SIGHUP)
-            await asking
+            await discovery
             serving = asyncio.create_task(answer_all(endpoint))
             while (status := await status_of_other(address)) == 404:  # the reload is on its way
                 await asyncio.sleep(0.02)
--- a/tests/test_unsafe.py
+++ b/tests/test_unsafe.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from eiderhub.interface import ListForm
-from eiderhub.sidecar import upstream
-from eiderhub.sidecar.discovery import read_listing
+from corkdoor.model import WatchEventKind
+from corkdoor.sidecar import upstream
+from corkdoor.sidecar.discovery import read_endpoint_list
 from tests.sidecar_support import SETUP, Asked, Fake, Sidecar, first_asked, one_attempt, row, run
 
 ALLOWED = {**SETUP["Allowed"], "SecondCopies": True, "ConnectTimeoutUs": 100_000}
@@ -72,9 +72,9 @@
                 dead.close()
             async with Sidecar(endpoints=1, Allowed=ALLOWED) as sidecar:
                 both = rows(row("bad", address), row("s-0", sidecar.endpoints[0].address))
-                sidecar.host.on_list(ListForm.FULL, read_listing(both).entries)
+                sidecar.proxy.on_list(WatchEventKind.FULL, read_endpoint_list(both).entries)
                 client = await sidecar.client()
-                while not sidecar.host.tally["connect_failed"]:  # each draws its endpoint at random
+                while not sidecar.proxy.tally["connect_failed"]:  # each draws its endpoint at random
                     client.send()
                     (await sidecar.endpoints[0].next()).reply()
                     assert (await client.answer()).status == 200
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -10,13 +10,12 @@
 
 import pytest
 
-from eiderhub.interface import ListForm, Outcome
-from eiderhub.sidecar import host as hosting
-from eiderhub.sidecar import upstream
-from eiderhub.sidecar.bounds import Budget
-from eiderhub.sidecar.discovery import Listed, read_listing
-from eiderhub.sidecar.invariants import InvariantLog, Location
-from eiderhub.sidecar.upstream import Attempt, Response, Upstream
+from corkdoor.model import Outcome, WatchEventKind
+from corkdoor.sidecar import proxied_request, upstream
+from corkdoor.sidecar.bounds import Budget
+from corkdoor.sidecar.discovery import ResolvedEndpoint, read_endpoint_list
+from corkdoor.sidecar.invariants import InvariantLog, Location
+from corkdoor.sidecar.upstream import Attempt, Response, Upstream
 from tests.sidecar_support import (
     SETUP,
     Sidecar,
@@ -90,8 +89,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
-        monkeypatch.setattr(hosting, "ANSWER_MARGIN_US", 1_800_000)  # leaves a slow machine ample time
-        monkeypatch.setattr(hosting, "MARGIN_SHARE", 1.0)
+        monkeypatch.setattr(proxied_request, "ANSWER_MARGIN_US", 1_800_000)  # for a slow machine
+        monkeypatch.setattr(proxied_request, "MARGIN_SHARE", 1.0)
         async with Sidecar() as sidecar:
             client = await sidecar.client()
             begun = time.monotonic()
@@ -196,7 +195,7 @@
             (await sidecar.endpoints[0].next()).reply()
             await client.answer()
             assert await sidecar.endpoints[0].ends.get() == 0
-            assert sidecar.host.upstream.open == 0
+            assert sidecar.proxy.upstream.open == 0
 
     run(test())
 
@@ -208,10 +207,10 @@
         async with Sidecar(endpoints=2) as sidecar:
             before, after = sidecar.endpoints
             client = await sidecar.client()
-            sidecar.host.on_list(ListForm.FULL, listed(row("s-0", before.address)))
+            sidecar.proxy.on_list(WatchEventKind.FULL, listed(row("s-0", before.address)))
             client.send()
             asked = await before.next()
-            sidecar.host.on_list(ListForm.FULL, listed(row("s-0", after.address, started_ms=1)))
+            sidecar.proxy.on_list(WatchEventKind.FULL, listed(row("s-0", after.address, started_ms=1)))
             asked.reply()
             assert (await client.answer()).status == 200
             client.send()
@@ -219,7 +218,7 @@
             assert asked.writer in after.writers
             asked.reply()
             assert (await client.answer()).status == 200
-            assert sidecar.host.upstream.open == 1
+            assert sidecar.proxy.upstream.open == 1
 
     run(test())
 
@@ -230,8 +229,8 @@
         listed(row("s-0", f"127.0.0.1:{port}"))
 
 
-def listed(*rows: dict[str, Any]) -> list[Listed]:
-    return read_listing(json.loads(listing(2, True, *rows))).entries
+def listed(*rows: dict[str, Any]) -> list[ResolvedEndpoint]:
+    return read_endpoint_list(json.loads(listing(2, True, *rows))).entries
 
 
 def test_connections_to_endpoints_stay_within_their_bound() -> None:
@@ -245,7 +244,7 @@
                 asked.reply()
                 await client.answer()
                 seen.add(next(i for i, f in enumerate(sidecar.endpoints) if asked.writer in f.writers))
-                assert sidecar.host.upstream.open == 1
+                assert sidecar.proxy.upstream.open == 1
 
     run(test())
 
@@ -292,7 +291,7 @@
             assert (answer.status, answer.body) == (502, b"")
             assert await asyncio.wait_for(ended(sidecar), 2) == 0
             assert all(fake.asked.empty() for fake in sidecar.endpoints)
-            assert (sidecar.host.upstream.open, sidecar.host.budget.held) == (0, 0)
+            assert (sidecar.proxy.upstream.open, sidecar.proxy.budget.held) == (0, 0)
 
     run(test())
 
@@ -334,7 +333,7 @@
             report = "srv-load: pending=3,served_ps=140,svc_ms=14.5"
             (await sidecar.endpoints[0].next()).reply(200, b"good", report)
             assert (await client.answer()).status == 200
-            assert sidecar.host.balancer.services.newer.total == 1
+            assert sidecar.proxy.balancer.services.newer.total == 1
 
     run(test())
 
--- a/tests/test_watching.py
+++ b/tests/test_watching.py
@@ -13,9 +13,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from eiderhub.interface import Discovery, ListForm, Rules
-from eiderhub.policy import watch_waits
-from eiderhub.policy.discovery_schedule import (
+from corkdoor.model import DiscoveryMode, WatchEventKind
+from corkdoor.policy import watch_timeout
+from corkdoor.policy.discovery_backoff import (
     ASK_AT_ONCE,
     ASK_CROWDED_US,
     ASK_FIRST_US,
@@ -26,9 +26,10 @@
     TURN_FIRST_US,
     TURN_MOST_US,
 )
-from eiderhub.sidecar import discovery
-from eiderhub.sidecar.config import Address
-from eiderhub.sidecar.stream import connect
+from corkdoor.settings import LifecycleRules
+from corkdoor.sidecar import discovery
+from corkdoor.sidecar.config import Address
+from corkdoor.sidecar.stream import connect
 from tests.sidecar_support import Sidecar, listing, read_message, row, run
 from tests.support import Host, S, settings
 
@@ -37,14 +38,14 @@
 def test_a_lost_list_is_asked_for_at_once_however_long_the_module_would_wait(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(watch_waits, "FIRST_MS", 100)
-    monkeypatch.setattr(watch_waits, "LOSSY_MS", 100)
-    monkeypatch.setattr(watch_waits, "LONGEST_MS", 100)
+    monkeypatch.setattr(watch_timeout, "FIRST_MS", 100)
+    monkeypatch.setattr(watch_timeout, "LOSSY_MS", 100)
+    monkeypatch.setattr(watch_timeout, "LONGEST_MS", 100)
     monkeypatch.setattr(discovery, "WATCH_PATIENCE_S", 0.1)
 
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
-            sidecar.host.balancer.asking.renewal.slowest = 60_000_000  # as after a long outage
+            sidecar.proxy.balancer.discovery.renewal.slowest = 60_000_000  # as after a long outage
             spoilt = {
                 "silent": b"",
                 "garbled": b"\x00\x01 noise\r\n\r\n",
@@ -58,16 +59,16 @@
             (await sidecar.discovery.next()).reply(200, left)
             assert time.monotonic() - begun < ASK_LONGEST_US / 2e6  # the shortest wait by the schedule
             await sidecar.discovery.next()
-            assert list(sidecar.host.upstream.pools) == ["s-0"]
+            assert list(sidecar.proxy.upstream.pools) == ["s-0"]
 
     run(test())
 
 
 def test_a_new_connection_that_hangs_leaves_time_for_another(monkeypatch: pytest.MonkeyPatch) -> None:
     """After a watch fell silent 1 s is left, and connecting alone was waited for for 2 s."""
-    monkeypatch.setattr(watch_waits, "FIRST_MS", 100)
-    monkeypatch.setattr(watch_waits, "LOSSY_MS", 100)
-    monkeypatch.setattr(watch_waits, "LONGEST_MS", 100)
+    monkeypatch.setattr(watch_timeout, "FIRST_MS", 100)
+    monkeypatch.setattr(watch_timeout, "LOSSY_MS", 100)
+    monkeypatch.setattr(watch_timeout, "LONGEST_MS", 100)
     monkeypatch.setattr(discovery, "WATCH_PATIENCE_S", 0.1)
 
     async def test() -> None:
@@ -83,7 +84,7 @@
 
         monkeypatch.setattr(discovery, "connect", hanging)
         async with Sidecar() as sidecar:
-            sidecar.host.balancer.asking.renewal.slowest = 60_000_000  # as after a long outage
+            sidecar.proxy.balancer.discovery.renewal.slowest = 60_000_000  # as after a long outage
             await sidecar.discovery.next()  # silent
             begun = time.monotonic()
             (await sidecar.discovery.next()).reply(200, listing(2, False))
@@ -154,13 +155,13 @@
             address = Address("127.0.0.1", outage.port)
             if moves:
                 await sidecar.discovery.next()
-                sidecar.host.reload(replace(sidecar.config, discovery=address))
+                sidecar.proxy.reload(replace(sidecar.config, discovery=address))
             else:
-                sidecar.host.watcher.move(
+                sidecar.proxy.watcher.move(
                     address.host, address.port
                 )  # as if it had been there from the start
-                sidecar.host.watcher.moved = False
-                sidecar.host.watcher.turn(True)
+                sidecar.proxy.watcher.moved = False
+                sidecar.proxy.watcher.turn(True)
             await asyncio.sleep(OUTAGE_S)
             await outage.end()
             while not outage.told and time.monotonic() < outage.back_s + 6.0:
@@ -187,25 +188,27 @@
 def test_pushed_lists_are_asked_for_soon_after_discovery_is_back() -> None:
     """What it has at its return counts as told at once; after an outage of 8 s copies waited up to 6 s."""
     grace_us = 800_000
-    host = Host(settings(discovery=Discovery.PUSH, rules=Rules(drain_grace_us=grace_us)))
+    host = Host(
+        settings(discovery_mode=DiscoveryMode.PUSH, lifecycle=LifecycleRules(drain_grace_us=grace_us))
+    )
     for _ in range(20):
         host.timers.clear()
-        host.balancer.discovery(host.now, ListForm.FAILED, [])
+        host.balancer.on_watch_event(host.now, WatchEventKind.FAILED, [])
         ((due, _),) = host.timers
         assert due - host.now <= grace_us / 2
         host.advance(due - host.now)
     for _ in range(5):  # a refusal after a wait tells of too many callers: that is no reason to hurry
         host.now += 2 * S
         asked = host.now - 2 * S
-        host.balancer.discovery(host.now, ListForm.REFUSED, [])
+        host.balancer.on_watch_event(host.now, WatchEventKind.REJECTED, [])
         ((due, _),) = host.timers
         host.advance(due - host.now)
     assert ASK_CROWDED_US * 0.75 <= due - asked <= ASK_CROWDED_US
-    host.balancer.discovery(host.now, ListForm.DELTA, [])
+    host.balancer.on_watch_event(host.now, WatchEventKind.DELTA, [])
     told = host.now
     waits = []
     while host.now < told + 7 * S:  # one that comes at once tells of a short queue
-        host.balancer.discovery(host.now, ListForm.REFUSED, [])
+        host.balancer.on_watch_event(host.now, WatchEventKind.REJECTED, [])
         ((due, _),) = host.timers
         waits.append(due - host.now)
         host.advance(due - host.now)
@@ -215,53 +218,62 @@
 
 
 @given(
-    st.sampled_from(Discovery),
+    st.sampled_from(DiscoveryMode),
     st.integers(0, 60_000_000),
     st.booleans(),
     st.integers(0),
     st.lists(
-        st.tuples(st.sampled_from((ListForm.FAILED, ListForm.REFUSED, ListForm.LOST)), st.integers(0, 3 * S)),
+        st.tuples(
+            st.sampled_from((WatchEventKind.FAILED, WatchEventKind.REJECTED, WatchEventKind.LOST)),
+            st.integers(0, 3 * S),
+        ),
         min_size=1,
         max_size=30,
     ),
 )
 def test_calls_to_discovery_begin_at_most_so_far_apart(
-    form: Discovery, ask_every_us: int, moved: bool, seed: int, calls: list[tuple[ListForm, int]]
+    form: DiscoveryMode,
+    poll_interval_us: int,
+    moved: bool,
+    seed: int,
+    calls: list[tuple[WatchEventKind, int]],
 ) -> None:
     """However calls fail and however long that takes them: all waits together never pass the one deadline."""
-    rules = Rules(ask_every_us=ask_every_us)
-    host = Host(settings(discovery=form, rules=rules), seed=seed)
+    rules = LifecycleRules(poll_interval_us=poll_interval_us)
+    host = Host(settings(discovery_mode=form, lifecycle=rules), seed=seed)
     if moved:
-        host.balancer.moved(host.now)
-    bound = max(ASK_FIRST_US, 3 * ask_every_us) if form is Discovery.ASK else ASK_CROWDED_US
+        host.balancer.on_discovery_moved(host.now)
+    bound = max(ASK_FIRST_US, 3 * poll_interval_us) if form is DiscoveryMode.POLL else ASK_CROWDED_US
     host.did.clear()
     at_once = 0
     for number, (failure, spent) in enumerate(calls):
         begun = host.now
         host.now += spent
-        host.balancer.discovery(host.now, failure, [])
-        host.balancer.discovery(host.now, failure, [])  # told twice, as by a wire that repeats itself
+        host.balancer.on_watch_event(host.now, failure, [])
+        host.balancer.on_watch_event(host.now, failure, [])  # told twice, as by a wire that repeats itself
         ((due, _),) = host.timers
         wait = due - host.now
         longest = ASK_MOVED_US if moved else ASK_LONGEST_US
-        if failure is ListForm.REFUSED:
+        if failure is WatchEventKind.REJECTED:
             longest = ASK_CROWDED_US // 2 if moved else ASK_CROWDED_US
         longest = min(longest, bound)
-        pause = 1.4 * ASK_REFUSED_US if failure is ListForm.REFUSED else ASK_LEAST_US
+        pause = 1.4 * ASK_REFUSED_US if failure is WatchEventKind.REJECTED else ASK_LEAST_US
         if number or moved:
             assert due - begun <= max(longest, spent + pause)
         at_once = at_once + 1 if wait < ASK_LEAST_US / 2 else 0
         assert at_once <= ASK_AT_ONCE  # never a loop without a pause
         host.advance(wait)
-        assert host.did.pop() == ("tail", True)
+        assert host.did.pop() == ("watch_discovery", True)
         assert not host.did and not host.timers
 
 
 def test_the_module_asks_again_before_what_changes_counts_as_told() -> None:
-    host = Host(settings(discovery=Discovery.ASK, rules=Rules(ask_every_us=500_000)))
+    host = Host(
+        settings(discovery_mode=DiscoveryMode.POLL, lifecycle=LifecycleRules(poll_interval_us=500_000))
+    )
     for _ in range(8):
         host.timers.clear()
-        host.balancer.discovery(host.now, ListForm.FAILED, [])
+        host.balancer.on_watch_event(host.now, WatchEventKind.FAILED, [])
         ((due, _),) = host.timers
         assert due - host.now < 4 * 500_000
         host.advance(due - host.now)
