--- a/corkdoor/sidecar/__main__.py
+++ b/corkdoor/sidecar/__main__.py
@@ -14,10 +14,10 @@
 
 import uvloop
 
+from corkdoor.sidecar.clients.server import Server
 from corkdoor.sidecar.clock import now_us
 from corkdoor.sidecar.config import Config, ConfigError, load
 from corkdoor.sidecar.proxy import Proxy, request_log
-from corkdoor.sidecar.server import Server
 from corkdoor.sidecar.signals import SignalActions
 
 ACCEPT_S = 0.6  # all is served for so long after SIGTERM at least: the front sends some for up to 0.4 s
@@ -70,7 +70,7 @@
     """Log the figures of the last while: a bad stretch is compared with a good one by them."""
     while True:
         await asyncio.sleep(REPORT_EVERY_S)
-        log.info("figures: callers %d of %d, %s", len(server.clients), server.most, proxy.report())
+        log.info("figures: callers %d of %d, %s", len(server.clients), server.clients.limit, proxy.report())
 
 
 def age_s() -> float:
@@ -92,11 +92,11 @@
     while. Closing them at once would send a whole sidecar's load to its neighbours in one moment, and to
     nobody where the neighbour is about to come back from a restart of its own.
     """
-    end = min(LONGEST_S, server.longest_s) + AFTER_LONGEST_S
+    end = min(LONGEST_S, server.admission.longest_deadline_s) + AFTER_LONGEST_S
     begun_us = now_us()
-    server.draining = True
+    server.start_draining()
     await asyncio.sleep(max(ACCEPT_S, SERVE_SHARE * end))
-    server.leaving = True
+    server.start_closing_connections()
     log.info("drain: %d callers, %d requests open", len(server.clients), len(proxy.requests))
     await _emptied(server, begun_us + int(end * 1e6))
     took_s = (now_us() - begun_us) / 1e6
@@ -107,13 +107,13 @@
         len(proxy.requests),
     )
     proxy.end()
-    server.turn_away_unfinished()
+    server.reject_incomplete_requests()
     await _emptied(server, now_us() + int(FLUSH_S * 1e6))
 
 
 async def _emptied(server: Server, until_us: int) -> None:
     """Wait until all callers have their answers and are gone, or until that time."""
-    while not (server.shut() and not server.clients) and now_us() < until_us:
+    while not (server.stop_accepting() and not server.clients) and now_us() < until_us:
         server.close_idle()
         await asyncio.sleep(0.01)
 
@@ -128,14 +128,14 @@
         return
     config = server.proxy.config
     news = "unchanged" if config.digest == before.digest else "in force"
-    bounds = config.bounds
+    bounds = config.resource_limits
     log.info(
         "the configuration is taken, settings %s: %s; bounds: callers %d, connections %d, bytes held %d",
         news,
         server.proxy.version(),
-        bounds.clients,
-        bounds.endpoints,
-        bounds.held,
+        bounds.client_connections,
+        bounds.endpoint_connections,
+        bounds.held_bytes,
     )
 
 
@@ -146,14 +146,14 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         signals.handle(number, stop.set)
     proxy = Proxy(config)
-    server = Server(proxy, config.bounds.clients)
+    server = Server(proxy, config.resource_limits.client_connections)
     signals.handle(signal.SIGHUP, partial(reload, server))
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
     server.bind(config.listen.host, config.listen.port)
     proxy.start()
     chores = (
         proxy.upstream.sweep(),
-        server.watch_clients(),
+        server.watch_timeouts(),
         signals.watch(),
         watch_lag(),
         report(proxy, server),
--- /dev/null
+++ b/corkdoor/sidecar/clients/__init__.py
@@ -0,0 +1,1 @@
+"""The clients' side of the sidecar: their connections, requests and responses."""
--- /dev/null
+++ b/corkdoor/sidecar/clients/connection.py
@@ -0,0 +1,379 @@
+"""One client's connection: its requests are served one after another, in order."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from http import HTTPStatus
+from typing import TYPE_CHECKING
+
+from corkdoor.log_events import LogEvent
+from corkdoor.sidecar.clients.backlog import Backlog, IncomingRequest
+from corkdoor.sidecar.clients.body_reservation import BodyReservation
+from corkdoor.sidecar.clients.close_reason import CloseReason
+from corkdoor.sidecar.clients.errors import HTTPError
+from corkdoor.sidecar.clients.read_flow import ReadFlow
+from corkdoor.sidecar.clients.request_parser import RequestParser
+from corkdoor.sidecar.clients.responses import encode_response
+from corkdoor.sidecar.clients.states import CLIENT_STATES, OUTPUT_STATES, ClientState, OutputState
+from corkdoor.sidecar.clock import now_us
+from corkdoor.sidecar.invariants import Invariant
+from corkdoor.sidecar.proxied_request import ProxiedRequest
+from corkdoor.sidecar.transport.stream import StreamTransport
+
+if TYPE_CHECKING:
+    from corkdoor.sidecar.clients.server import Server
+
+RETRY_AFTER_S = b"1"  # told where no memory is left
+NEW, ESTABLISHED = ClientState  # bound once: members are slow to look up
+FLOWING, BLOCKED = OutputState
+log = logging.getLogger(__name__)
+
+
+class ClientConnection:
+    """Reads requests, has each of them served, and writes the responses.
+
+    Args:
+        server: the server that accepted it.
+    """
+
+    __slots__ = (
+        "_backlog",
+        "_bodies",
+        "_client_state",
+        "_input_arrived_us",
+        "_input_read_us",
+        "_keep_alive",
+        "_output_state",
+        "_parser",
+        "_read_flow",
+        "_server",
+        "_transport",
+        "current_request",
+        "phase_started_us",
+        "request_id",
+    )
+
+    def __init__(self, server: Server) -> None:
+        now = now_us()
+        self.current_request: ProxiedRequest | None = None  # the one that is being served
+        self.phase_started_us = now  # when it connected, began to receive a request, fell idle, or ended
+        self.request_id = b""  # the client's id of the current or last request
+        self._server = server
+        self._keep_alive = True  # whether the client keeps the connection after the current request
+        self._client_state = NEW
+        self._output_state = FLOWING
+        self._input_read_us = now  # when input was last read
+        self._input_arrived_us = now  # when that, or what is being parsed, may have come
+        self._bodies = BodyReservation(server.budget)
+        self._backlog = Backlog()
+        self._parser = RequestParser(self, self._bodies)
+
+    # The transport's protocol.
+
+    def connection_made(self, transport: StreamTransport) -> None:
+        """Take the place of another connection, if there are too many."""
+        self._transport = transport
+        self._read_flow = ReadFlow(transport)
+        self._server.clients.add(self)
+
+    def data_received(self, data: bytes) -> None:
+        """Parse input, and serve the next request if none is being served."""
+        if self._parser.has_ended:
+            return
+        self._input_read_us = now_us()
+        self._input_arrived_us = self._read_flow.arrived_us(len(data), self._input_read_us)
+        self._backlog.add_input(data)
+        self._parse()
+        self._serve_next()
+
+    def eof_received(self) -> bool:
+        """Take the client for gone at once: `connection_lost` comes only when all responses are read."""
+        self._drop_requests()
+        return False
+
+    def pause_writing(self) -> None:
+        """Guards against responses that pile up unread: no request is served until these are sent."""
+        self._set_output_state(BLOCKED)
+        self.phase_started_us = now_us()
+        self._read_flow.pause()
+
+    def resume_writing(self) -> None:
+        """Go on, but not within this call."""
+        self._set_output_state(FLOWING)
+        asyncio.get_running_loop().call_soon(self._resume)
+
+    def connection_lost(self, _error: Exception | None) -> None:
+        """The connection has ended."""
+        self._drop_requests()
+        self._parser.close()
+        self._server.clients.remove(self)
+        self._bodies.release_all()
+
+    # What it is doing.
+
+    @property
+    def is_busy(self) -> bool:
+        """Whether a request is being served, waits, or is incomplete."""
+        return self.current_request is not None or self.is_receiving or bool(self._backlog)
+
+    @property
+    def is_receiving(self) -> bool:
+        """Whether a request has come in part."""
+        return self._parser.is_receiving
+
+    @property
+    def is_new(self) -> bool:
+        """Whether the client has made no valid request."""
+        return self._client_state is NEW
+
+    @property
+    def is_reading_paused(self) -> bool:
+        """Whether nothing is read for now."""
+        return self._read_flow.is_paused
+
+    @property
+    def is_output_blocked(self) -> bool:
+        """Whether the client does not read its responses."""
+        return self._output_state is BLOCKED
+
+    @property
+    def has_input_ended(self) -> bool:
+        """Whether nothing that still comes is read."""
+        return self._parser.has_ended
+
+    @property
+    def waiting_requests(self) -> int:
+        """How many complete requests wait behind the one that is being served."""
+        return len(self._backlog.requests)
+
+    def buffered_bytes(self) -> int:
+        """How many bytes of responses the kernel has not taken yet."""
+        return self._transport.buffered_bytes()
+
+    def peer_port(self) -> int | None:
+        """The client's port; None where the connection has ended."""
+        return self._transport.peer_port()
+
+    def has_unread_input(self) -> bool:
+        """Whether input waits in the kernel: closing now would cross a request, and that would fail."""
+        return self._transport.has_input()
+
+    def departed(self) -> bool:
+        """Whether the kernel has the client's close, half-close or reset, whatever is unread before it.
+
+        The loop learns of it later: behind other events, and not at all while reading is paused.
+        """
+        return self._transport.peer_closed()
+
+    def label(self) -> str:
+        """The request's name in the log."""
+        return f"request {self.request_id.decode('latin-1')}"
+
+    # Requests.
+
+    def on_request_begin(self) -> None:
+        """A request begins; the time of the first one counts from connecting."""
+        if self._client_state is ESTABLISHED:
+            self.phase_started_us = now_us()
+        self._server.clients.set_busy(self)
+
+    def on_request_complete(self, request: IncomingRequest) -> None:
+        """A request waits; it is served after the read that brought it has been parsed."""
+        self._backlog.requests.append(request)
+
+    def _parse(self) -> None:
+        backlog, parser = self._backlog, self._parser
+        while backlog.unparsed and not backlog.is_full and not parser.has_ended:
+            try:
+                parser.feed(backlog.take_chunk(), self._input_arrived_us)
+            except HTTPError as error:
+                self.reject_input(error)
+
+    def _serve_next(self) -> None:
+        backlog = self._backlog
+        if backlog.requests and self.current_request is None and self._output_state is FLOWING:
+            self._serve(backlog.requests.pop(0))
+        if backlog.unparsed or backlog.is_full:
+            self._read_flow.pause()
+
+    def _serve(self, incoming: IncomingRequest) -> None:
+        self._keep_alive = incoming.keep_alive
+        self._bodies.start_serving(len(incoming.body))
+        try:
+            request = self._server.admit(self, incoming)
+        except HTTPError as error:
+            self._reject(error)
+            return
+        except Exception:
+            # It has not reached the balancer, but what was asked for is unclear: nothing is promised.
+            log.exception(LogEvent("request_admission_failed"))
+            self.answer(HTTPStatus.INTERNAL_SERVER_ERROR, [], b"")
+            return
+        if self._client_state is NEW:
+            self._client_state = CLIENT_STATES.check(self._client_state, ESTABLISHED)
+            self._server.clients.set_established(self)
+        if request is not None:
+            self.current_request = request
+            self._server.proxy.take(request)
+
+    def reject_input(self, error: HTTPError) -> None:
+        """Reject what the client has sent, and read no more: nothing of it is forwarded.
+
+        Input that can't be parsed makes the request before it doubtful too: a length that is too short looks
+        the same. Clients that send one request at a time are never affected.
+        """
+        if self.current_request is not None:
+            self._server.proxy.gone(self.current_request)
+            if error.status == HTTPStatus.SERVICE_UNAVAILABLE:
+                # 503 would promise that the request before it never ran.
+                error = HTTPError(HTTPStatus.INTERNAL_SERVER_ERROR, error.reason)
+        self._reject(error)
+
+    def _reject(self, error: HTTPError) -> None:
+        self._keep_alive = False
+        self._end_input()
+        unavailable = error.status == HTTPStatus.SERVICE_UNAVAILABLE
+        headers = [(b"Retry-After", RETRY_AFTER_S)] if unavailable else []
+        self.answer(error.status, headers, f"{error.reason}\n".encode())
+
+    def _drop_requests(self) -> None:
+        """The client has left: whatever it could still read, nothing more is forwarded for it."""
+        if not self._parser.has_ended:
+            self.phase_started_us = now_us()
+        self._end_input()
+        request, self.current_request = self.current_request, None
+        if request is not None:
+            self._server.admission.release(self.request_id)
+            self._server.proxy.gone(request)
+
+    def _end_input(self) -> None:
+        self._parser.end()
+        self._backlog.clear()
+
+    # Responses.
+
+    def answer(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
+        """Write a response; the connection closes after it where the client, the input or the server ends."""
+        if self.current_request is not None:
+            self.current_request = None
+            self._server.admission.release(self.request_id)
+        has_backlog = bool(self._backlog)
+        is_idle = not has_backlog and not self._parser.is_receiving
+        if is_idle:
+            self._bodies.release_all()
+        else:
+            self._bodies.release_served()
+        # Waiting requests were accepted too, so they are served even while the server closes connections.
+        keep_alive = self._keep_alive and (has_backlog or not self._server.closes_connections())
+        self._transport.write(encode_response(status, headers, body, keep_alive))
+        if not keep_alive:
+            self._finish()
+        elif has_backlog:
+            # Later: the response may have come from a call that still works on the last request.
+            asyncio.get_running_loop().call_soon(self._resume)
+        elif is_idle:
+            self.phase_started_us = now_us()
+            self._server.clients.set_idle(self)
+
+    def _resume(self) -> None:
+        if self.is_output_blocked:
+            return
+        self._parse()
+        self._serve_next()
+        if not self._backlog.is_full and not self._backlog.unparsed:
+            self._read_flow.resume()
+
+    def _finish(self) -> None:
+        """Close after the last response, but not before the client has had time to read it.
+
+        A socket that is closed with unread input is reset, and the response in transit would be lost.
+        """
+        is_input_unexpected = self.has_input_ended or self.is_receiving
+        self._end_input()
+        self._bodies.release_all()
+        self.phase_started_us = now_us()  # timeouts count from here: the response needs time to be sent
+        if self._transport.is_closing():
+            return
+        if is_input_unexpected:
+            self._transport.write_eof()
+            self._read_flow.resume()
+        elif (
+            self.has_unread_input()
+        ):  # a next request crosses the close: unread, the client sends it elsewhere
+            self._transport.write_eof()
+            self._read_flow.pause()
+        else:
+            self.close(CloseReason.AFTER_RESPONSE)
+
+    # Closing.
+
+    def close(self, reason: CloseReason, *, abort: bool = False) -> None:
+        """Close the connection, unless a response is due on it.
+
+        Args:
+            reason: is counted.
+            abort: whether to drop responses that the kernel has not taken.
+        """
+        if self._transport.is_closing():
+            if abort:
+                self._transport.abort()
+            return
+        proxy = self._server.proxy
+        if self.current_request is not None:
+            detail = f"{self.label()}, {reason.value}"
+            proxy.invariants.note_broken(Invariant.CLOSED_UNANSWERED, detail)
+            return
+        proxy.tally[reason.counter] += 1
+        if abort:
+            self._transport.abort()
+        else:
+            self._transport.close()
+
+    def evict(self) -> None:
+        """Close it at once, to make room for another client."""
+        self._parser.end()
+        self.close(CloseReason.EVICTED, abort=True)
+
+    def check_timeouts(self, now: int) -> None:
+        """Close it where the client has left, or takes too long; `now` in microseconds."""
+        timeouts = self._server.timeouts
+        if self.is_reading_paused and not self.has_input_ended and self.departed():
+            # While reading is paused the loop is told of no end, and the backlog would be served for nobody.
+            self._drop_requests()
+            self.close(CloseReason.CLIENT_LEFT)
+        phase_s = (now - self.phase_started_us) / 1e6
+        if self.is_output_blocked and self.current_request is None and phase_s > timeouts.idle_s:
+            self.close(CloseReason.RESPONSES_UNREAD, abort=True)
+        elif self.current_request is not None or self._backlog:
+            return
+        elif self.has_input_ended:
+            if phase_s > timeouts.linger_s:
+                self.close(CloseReason.AFTER_LAST_INPUT, abort=True)
+        elif self.is_receiving:
+            if self._is_request_too_slow(now, phase_s):
+                self.reject_input(HTTPError(HTTPStatus.REQUEST_TIMEOUT, "the request did not come whole"))
+        elif phase_s > (timeouts.first_request_s if self.is_new else timeouts.idle_s):
+            if not self.has_unread_input():
+                self.close(CloseReason.NO_REQUEST if self.is_new else CloseReason.IDLE, abort=True)
+
+    def _is_request_too_slow(self, now: int, phase_s: float) -> bool:
+        """Whether the request that is coming in takes too long.
+
+        An established client may write slowly, but no longer than any response would be waited for: a
+        request's deadline counts from its last byte.
+        """
+        timeouts = self._server.timeouts
+        if self.is_new:
+            return phase_s > timeouts.first_request_s
+        silent_s = (now - self._input_read_us) / 1e6
+        is_stalled = (
+            silent_s > timeouts.stalled_request_s
+            and not self.is_reading_paused
+            and not self.has_unread_input()
+        )
+        longest_s = max(timeouts.first_request_s, self._server.admission.longest_deadline_s)
+        return is_stalled or phase_s > longest_s
+
+    def _set_output_state(self, state: OutputState) -> None:
+        self._output_state = OUTPUT_STATES.check(self._output_state, state)
--- /dev/null
+++ b/corkdoor/sidecar/clients/request_parser.py
@@ -0,0 +1,183 @@
+"""Parsing a client's input into requests, within limits on their size."""
+
+from __future__ import annotations
+
+from http import HTTPStatus
+from typing import NoReturn, Protocol
+
+import httptools
+
+from corkdoor.sidecar.clients.backlog import PARSE_CHUNK_BYTES, IncomingRequest
+from corkdoor.sidecar.clients.body_reservation import BodyReservation
+from corkdoor.sidecar.clients.errors import HTTPError
+from corkdoor.sidecar.clients.states import INPUT_STATES, InputState
+from corkdoor.sidecar.http_fields import OPTIONAL_WHITESPACE
+
+MAX_BODY_BYTES = 64 * 1024
+MAX_HEAD_BYTES = 16 * 1024
+HEADER_OVERHEAD_BYTES = 32  # counted for each header beside its own: many tiny ones fill the memory too
+HEAD_TOO_LONG = "the headers are too long"
+HTTP_VERSIONS = ("1.0", "1.1")
+IDLE, HEAD, BODY, ENDED, TRUNCATED, CLOSED = InputState  # bound once: members are slow to look up
+RECEIVING = (HEAD, BODY, TRUNCATED)
+
+
+class RequestSink(Protocol):
+    """Who gets the requests."""
+
+    def on_request_begin(self) -> None:
+        """The first byte of a request has come."""
+        ...
+
+    def on_request_complete(self, request: IncomingRequest) -> None:
+        """A request has come to its last byte."""
+        ...
+
+
+class RequestParser:
+    """Parses one connection's input. The methods with the names of httptools' callbacks are called by it.
+
+    Args:
+        sink: gets the requests.
+        bodies: where the bytes of bodies are reserved.
+    """
+
+    __slots__ = (
+        "_arrived_us",
+        "_bodies",
+        "_body",
+        "_error",
+        "_head_bytes",
+        "_headers",
+        "_parser",
+        "_sink",
+        "_target",
+        "_unfinished_head_bytes",
+        "state",
+    )
+
+    def __init__(self, sink: RequestSink, bodies: BodyReservation) -> None:
+        self.state = IDLE
+        self._sink: RequestSink | None = sink
+        self._bodies = bodies
+        self._error: HTTPError | None = None  # raised in a callback; httptools raises one of its own for it
+        self._arrived_us = 0
+        self._target = b""
+        self._headers: list[tuple[bytes, bytes]] = []
+        self._head_bytes = 0
+        self._unfinished_head_bytes = 0  # fed of a head that has no end yet
+        self._body = bytearray()
+        self._parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
+
+    @property
+    def is_receiving(self) -> bool:
+        """Whether the input is, or has ended, in the middle of a request."""
+        return self.state in RECEIVING
+
+    @property
+    def has_ended(self) -> bool:
+        """Whether nothing more is read."""
+        return self.state >= ENDED
+
+    def feed(self, data: memoryview, arrived_us: int) -> None:
+        """Parse the next input, which came at `arrived_us`.
+
+        Raises:
+            HTTPError: it can't be parsed, or is past a limit.
+        """
+        parser = self._parser
+        if parser is None:
+            return
+        self._arrived_us = arrived_us
+        was_in_head = self.state <= HEAD
+        upgrade_requested = False
+        try:
+            parser.feed_data(data)
+        except httptools.HttpParserUpgrade:
+            upgrade_requested = True  # the request is complete, and its response closes the connection
+        except httptools.HttpParserError:
+            raise self._error or HTTPError(HTTPStatus.BAD_REQUEST, "malformed HTTP") from None
+        self._count_unfinished_head(len(data), was_in_head)
+        if upgrade_requested:
+            self.end()
+
+    def end(self) -> None:
+        """Take no more input."""
+        if self.has_ended:
+            return
+        ending = TRUNCATED if self.is_receiving else ENDED
+        self.state = INPUT_STATES.check(self.state, ending)
+        self._body = bytearray()
+
+    def close(self) -> None:
+        """The connection has ended: let go of the sink, which points back here."""
+        self.end()
+        if self.state is not CLOSED:
+            self.state = INPUT_STATES.check(self.state, CLOSED)
+        self._parser = self._sink = self._error = None
+
+    def on_message_begin(self) -> None:
+        """A request begins."""
+        self.state = INPUT_STATES.check(self.state, HEAD)
+        self._head_bytes = self._unfinished_head_bytes = 0
+        if self._sink is not None:
+            self._sink.on_request_begin()
+
+    def on_url(self, target: bytes) -> None:
+        """A part of the request's target."""
+        self._target += target
+        self._head_bytes += len(target)
+        if self._head_bytes > MAX_HEAD_BYTES:
+            self._fail(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, HEAD_TOO_LONG)
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        """A header, or a trailer behind a chunked body: those count, but are not forwarded."""
+        if self.state is HEAD:
+            self._headers.append((name, value.strip(OPTIONAL_WHITESPACE)))  # httptools leaves it at the end
+        self._head_bytes += len(name) + len(value) + HEADER_OVERHEAD_BYTES
+        if self._head_bytes > MAX_HEAD_BYTES:
+            self._fail(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, HEAD_TOO_LONG)
+
+    def on_headers_complete(self) -> None:
+        """The head is complete."""
+        self.state = INPUT_STATES.check(self.state, BODY)
+        if self._parser is not None and self._parser.get_http_version() not in HTTP_VERSIONS:
+            self._fail(HTTPStatus.BAD_REQUEST, "HTTP/1.0 or 1.1 only")
+        for name, value in self._headers:
+            key = name.lower()
+            if key == b"transfer-encoding" and value.lower() != b"chunked":
+                # httptools lets other codings pass.
+                self._fail(HTTPStatus.BAD_REQUEST, "transfer-encoding: chunked only")
+            if key == b"content-length" and int(value) > MAX_BODY_BYTES:  # httptools has checked the digits
+                self._fail(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too long")
+
+    def on_body(self, body: bytes) -> None:
+        """A part of the body."""
+        if len(self._body) + len(body) > MAX_BODY_BYTES:
+            self._fail(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too long")
+        if not self._bodies.reserve(len(body)):
+            self._fail(HTTPStatus.SERVICE_UNAVAILABLE, "no memory is left")  # it was sent nowhere
+        self._body += body
+
+    def on_message_complete(self) -> None:
+        """The request is complete."""
+        parser = self._parser
+        if parser is None or self._sink is None:
+            return
+        self.state = INPUT_STATES.check(self.state, IDLE)
+        keep_alive = parser.should_keep_alive() and not parser.should_upgrade()
+        method, body = parser.get_method(), bytes(self._body)
+        request = IncomingRequest(method, self._target, self._headers, body, keep_alive, self._arrived_us)
+        self._target, self._headers, self._body = b"", [], bytearray()
+        self._sink.on_request_complete(request)
+
+    def _count_unfinished_head(self, size: int, was_in_head: bool) -> None:
+        """Guards against a line without end: httptools reports nothing of it before its end."""
+        in_head = was_in_head and self.state <= HEAD
+        self._unfinished_head_bytes = self._unfinished_head_bytes + size if in_head else 0
+        if self._unfinished_head_bytes > MAX_HEAD_BYTES + PARSE_CHUNK_BYTES:
+            raise HTTPError(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, HEAD_TOO_LONG)
+
+    def _fail(self, status: HTTPStatus, reason: str) -> NoReturn:
+        self._error = HTTPError(status, reason)
+        raise self._error
--- /dev/null
+++ b/corkdoor/sidecar/clients/states.py
@@ -0,0 +1,95 @@
+"""The states of a client's connection and of the server, and which may follow which.
+
+A connection has three states at a time, since they change independently: of its input, of its output, and of
+what is known of the client. Whether reading is paused is a fourth, kept by `read_flow`.
+"""
+
+from __future__ import annotations
+
+from enum import IntEnum
+
+from corkdoor.state_machine import TransitionTable
+
+
+class InputState(IntEnum):
+    """Where in the stream of requests the parser is."""
+
+    IDLE = 1  # between requests
+    HEAD = 2
+    BODY = 3  # trailers included
+    ENDED = 4  # nothing more is read; the last request was complete
+    TRUNCATED = 5  # nothing more is read, in the middle of a request
+    CLOSED = 6  # the connection has ended
+
+
+class OutputState(IntEnum):
+    """Whether the client reads its responses."""
+
+    FLOWING = 1
+    BLOCKED = 2  # too much is buffered: no further request is served
+
+
+class ClientState(IntEnum):
+    """What the client has shown of itself; limits on time and eviction depend on it."""
+
+    NEW = 1  # it has made no valid request
+    ESTABLISHED = 2
+
+
+class ReadState(IntEnum):
+    """Whether the connection is read."""
+
+    READING = 1
+    PAUSED = 2
+
+
+class ServerState(IntEnum):
+    """The phases of a graceful shutdown."""
+
+    SERVING = 1
+    DRAINING = 2  # not ready for new clients; those that are connected are served
+    CLOSING = 3  # connections close after their next response
+    CLOSED = 4  # no connection is accepted
+
+
+INPUT_STATES = TransitionTable(
+    "client_input",
+    {
+        InputState.IDLE: frozenset((InputState.HEAD, InputState.ENDED)),
+        InputState.HEAD: frozenset((InputState.BODY, InputState.TRUNCATED)),
+        InputState.BODY: frozenset((InputState.IDLE, InputState.TRUNCATED)),
+        InputState.ENDED: frozenset((InputState.CLOSED,)),
+        InputState.TRUNCATED: frozenset((InputState.CLOSED,)),
+        InputState.CLOSED: frozenset(),
+    },
+)
+OUTPUT_STATES = TransitionTable(
+    "client_output",
+    {
+        OutputState.FLOWING: frozenset((OutputState.BLOCKED,)),
+        OutputState.BLOCKED: frozenset((OutputState.FLOWING,)),
+    },
+)
+CLIENT_STATES = TransitionTable(
+    "client",
+    {
+        ClientState.NEW: frozenset((ClientState.ESTABLISHED,)),
+        ClientState.ESTABLISHED: frozenset(),
+    },
+)
+READ_STATES = TransitionTable(
+    "client_read_flow",
+    {
+        ReadState.READING: frozenset((ReadState.PAUSED,)),
+        ReadState.PAUSED: frozenset((ReadState.READING,)),
+    },
+)
+SERVER_STATES = TransitionTable(
+    "server",
+    {
+        ServerState.SERVING: frozenset((ServerState.DRAINING,)),
+        ServerState.DRAINING: frozenset((ServerState.CLOSING,)),
+        ServerState.CLOSING: frozenset((ServerState.CLOSED,)),
+        ServerState.CLOSED: frozenset(),
+    },
+)
--- a/corkdoor/sidecar/config.py
+++ b/corkdoor/sidecar/config.py
@@ -11,8 +11,8 @@
 
 from corkdoor.settings import Settings
 from corkdoor.settings_reader import read_settings
-from corkdoor.sidecar.bounds import Bounds
 from corkdoor.sidecar.discovery import EndpointList, read_endpoint_list
+from corkdoor.sidecar.resource_limits import ResourceLimits
 
 SOCKETS, MEMORY_MB = 1024, 192  # where the configuration states no limit
 
@@ -33,7 +33,7 @@
     listen: Address
     discovery: Address
     seed: int
-    bounds: Bounds
+    resource_limits: ResourceLimits
     known: EndpointList
     settings: Settings
     digest: str = "-"  # of the settings as the file states them: tells on-call staff which ones are in force
@@ -102,7 +102,7 @@
         listen=parse_address(environ.get("GW_LISTEN") or document.get("listen"), "GW_LISTEN"),
         discovery=parse_address(document.get("discovery") or environ.get("GW_DISCOVERY"), "discovery"),
         seed=_seed(document.get("seed")),
-        bounds=Bounds.within(
+        resource_limits=ResourceLimits.divide(
             int(_limit(document, "sockets", SOCKETS)), _limit(document, "memory_mb", MEMORY_MB)
         ),
         known=known,
--- a/corkdoor/sidecar/discovery.py
+++ b/corkdoor/sidecar/discovery.py
@@ -12,9 +12,9 @@
 from corkdoor.model import DiscoveryMode, Endpoint, Readiness, WatchEventKind
 from corkdoor.policy.watch_timeout import WatchWaits
 from corkdoor.settings import Settings
-from corkdoor.sidecar.bounds import Budget
 from corkdoor.sidecar.clock import UNIX_OFFSET_US, now_us
-from corkdoor.sidecar.stream import connect
+from corkdoor.sidecar.resource_limits import ByteBudget
+from corkdoor.sidecar.transport.connector import connect
 from corkdoor.sidecar.upstream import Connection, Response
 
 MAX_LIST = 2 << 20  # bytes of a list: some 200 for each endpoint
@@ -168,7 +168,7 @@
         loop = asyncio.get_running_loop()
         self._asked_us = now_us()
         if self._connection is None or self._connection.lost:
-            fresh = Connection(self, Budget(MAX_LIST), MAX_LIST)
+            fresh = Connection(self, ByteBudget(MAX_LIST), MAX_LIST)
             async with asyncio.timeout(min(self.connect_s, AGAIN_CONNECT_S) if self.lost else self.connect_s):
                 await connect(fresh, self.host, self.port)
             self._connection = fresh
--- a/corkdoor/sidecar/proxy.py
+++ b/corkdoor/sidecar/proxy.py
@@ -17,12 +17,12 @@
 from corkdoor.balancer import Balancer
 from corkdoor.log_events import LogEvent
 from corkdoor.model import DiscoveryMode, Outcome, Readiness, Timer, WatchEventKind
-from corkdoor.sidecar.bounds import Budget
 from corkdoor.sidecar.clock import Alarm, now_us
 from corkdoor.sidecar.config import Config, ConfigError
 from corkdoor.sidecar.discovery import DiscoveryWatcher, ResolvedEndpoint, connect_limit_s
 from corkdoor.sidecar.invariants import Invariant, InvariantLog, Location, Sent, may_repeat
 from corkdoor.sidecar.proxied_request import ProxiedRequest
+from corkdoor.sidecar.resource_limits import ByteBudget
 from corkdoor.sidecar.upstream import Attempt, Response, Upstream, load_of
 from corkdoor.status import state
 
@@ -61,12 +61,12 @@
         self.tally: Counter[str] = Counter()  # since the last report: answers by status, attempts by outcome
         self.ending = False  # nothing new is begun
         self.listed = asyncio.Event()  # a list has named endpoints
-        self.budget = Budget(config.bounds.held)  # for requests and answers alike
+        self.budget = ByteBudget(config.resource_limits.held_bytes)  # for requests and answers alike
         self.invariants = InvariantLog()
         self.upstream = Upstream(
             settings.limits.idle_connection_us,
             settings.limits.connect_timeout_us,
-            config.bounds.endpoints,
+            config.resource_limits.endpoint_connections,
             self.budget,
             self.invariants,
         )
@@ -89,13 +89,15 @@
     def reload(self, config: Config) -> None:
         """Put another configuration in force, or raise ConfigError and change nothing."""
         _require_same(self.config, config)
-        settings, bounds = config.settings, config.bounds
+        settings, resources = config.settings, config.resource_limits
         if settings != self.settings:
             self.balancer.reconfigure(now_us(), settings)  # first: where it refuses, nothing has changed
             self.settings = settings
-        self.budget.most = bounds.held
+        self.budget.limit_bytes = resources.held_bytes
         self.upstream.configure(
-            settings.limits.idle_connection_us, settings.limits.connect_timeout_us, bounds.endpoints
+            settings.limits.idle_connection_us,
+            settings.limits.connect_timeout_us,
+            resources.endpoint_connections,
         )
         self._follow_discovery(config)
         if config.digest != self.config.digest:
--- /dev/null
+++ b/corkdoor/sidecar/transport/acceptor.py
@@ -0,0 +1,110 @@
+"""A listening socket, and the connections that it takes."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import os
+import socket
+from collections.abc import Callable
+
+from corkdoor.log_events import LogEvent
+from corkdoor.sidecar.transport.errors import RESOURCE_SHORTAGE
+from corkdoor.sidecar.transport.readiness_watch import ReadinessWatch
+from corkdoor.sidecar.transport.socket_poller import INPUT, SocketPoller
+from corkdoor.sidecar.transport.states import LISTENER_STATES, ListenerState
+from corkdoor.sidecar.transport.stream import StreamTransport
+from corkdoor.sidecar.transport.stream_protocol import StreamProtocol
+
+MAX_ACCEPTS = 64  # connections taken in one turn of the loop, so that open ones are not held up
+log = logging.getLogger(__name__)
+
+
+class Acceptor(ReadinessWatch):
+    """Listens from when it is made, and takes connections from `start` on.
+
+    Args:
+        host: the address to listen on.
+        port: the port; 0 for one that the kernel chooses.
+        backlog: connections that may wait in the kernel.
+        make_protocol: makes the protocol of each connection.
+
+    Raises:
+        OSError: the address can't be listened on; the text says why.
+    """
+
+    __slots__ = ("_make_protocol", "_poller", "_socket", "_state")
+
+    def __init__(
+        self, host: str, port: int, backlog: int, make_protocol: Callable[[], StreamProtocol]
+    ) -> None:
+        self._make_protocol = make_protocol
+        self._socket = _listen(host, port, backlog)
+        self._socket.setblocking(False)
+        super().__init__(asyncio.get_running_loop(), self._socket.fileno())
+        self._poller = SocketPoller(self._socket)
+        self._state = ListenerState.OPEN
+
+    @property
+    def port(self) -> int:
+        """The port that it listens on."""
+        return int(self._socket.getsockname()[1])
+
+    def start(self) -> None:
+        """Take connections from here on; those that came before have waited."""
+        if self._state is ListenerState.OPEN:
+            self._start_watching()
+
+    def has_waiting(self) -> bool:
+        """Whether a connection waits to be taken."""
+        return self._state is ListenerState.OPEN and self._poller.has(INPUT, otherwise=True)
+
+    def close(self) -> None:
+        """Listen no more; connections that wait are reset by the kernel."""
+        if self._state is ListenerState.CLOSED:
+            return
+        self._state = LISTENER_STATES.check(self._state, ListenerState.CLOSED)
+        self._stop_watching()
+        self._socket.close()
+
+    def _add_to_loop(self) -> None:
+        self._loop.add_reader(self._descriptor, self._on_connections)
+
+    def _remove_from_loop(self) -> None:
+        self._loop.remove_reader(self._descriptor)
+
+    def _on_retry(self) -> None:
+        self.start()
+
+    def _on_connections(self) -> None:
+        for _ in range(MAX_ACCEPTS):
+            if self._state is ListenerState.CLOSED:
+                return
+            try:
+                connected, _ = self._socket.accept()
+            except BlockingIOError:
+                return
+            except OSError as error:
+                if error.errno in RESOURCE_SHORTAGE:
+                    log.warning(LogEvent("accept_paused", error=error.strerror))
+                    self._retry_later()
+                    return
+                continue  # that connection has failed before it was taken: accept(2) says so of all others
+            self._take(connected)
+
+    def _take(self, connected: socket.socket) -> None:
+        try:
+            connected.setblocking(False)
+            StreamTransport(self._loop, connected, self._make_protocol())
+        except OSError as error:
+            log.warning(LogEvent("accept_failed", error=error.strerror))
+            connected.close()
+
+
+def _listen(host: str, port: int, backlog: int) -> socket.socket:
+    family = socket.AF_INET6 if ":" in host else socket.AF_INET
+    try:
+        return socket.create_server((host.strip("[]"), port), family=family, backlog=backlog)
+    except OSError as error:
+        reason = os.strerror(error.errno).lower() if error.errno else str(error)
+        raise OSError(f"can't listen on {host}:{port}: {reason}") from None
--- /dev/null
+++ b/corkdoor/sidecar/transport/readiness_watch.py
@@ -0,0 +1,76 @@
+"""Watching a descriptor for readiness in one direction, with a retry after a shortage of memory."""
+
+from __future__ import annotations
+
+import asyncio
+from abc import ABC, abstractmethod
+
+from corkdoor.sidecar.transport.errors import RETRY_S
+from corkdoor.sidecar.transport.states import WATCH_STATES, WatchState
+
+OFF, WATCHING, RETRYING = WatchState  # bound once: members are slow to look up
+
+
+class ReadinessWatch(ABC):
+    """The base of what acts whenever a descriptor is readable, or whenever it is writable.
+
+    Args:
+        loop: the event loop.
+        descriptor: the descriptor; it must stay open until `_stop_watching`.
+    """
+
+    __slots__ = ("_descriptor", "_loop", "_retry_timer", "_watch_state")
+
+    def __init__(self, loop: asyncio.AbstractEventLoop, descriptor: int) -> None:
+        self._loop = loop
+        self._descriptor = descriptor
+        self._watch_state = OFF
+        self._retry_timer: asyncio.TimerHandle | None = None
+
+    @abstractmethod
+    def _add_to_loop(self) -> None:
+        """Have the loop call back while the descriptor is ready; raises OSError."""
+
+    @abstractmethod
+    def _remove_from_loop(self) -> None:
+        """Undo `_add_to_loop`."""
+
+    @abstractmethod
+    def _on_retry(self) -> None:
+        """A retry is due: called `RETRY_S` after `_retry_later`, or after `_add_to_loop` failed."""
+
+    def _start_watching(self) -> None:
+        """Watch from now on, unless a retry is due anyway."""
+        if self._watch_state is not OFF:
+            return
+        try:
+            self._add_to_loop()
+        except OSError:
+            self._retry_later()
+        else:
+            self._set_watch_state(WATCHING)
+
+    def _stop_watching(self) -> None:
+        """Watch no more, and drop a retry that is due."""
+        if self._watch_state is OFF:
+            return
+        if self._retry_timer is not None:
+            self._retry_timer.cancel()
+            self._retry_timer = None
+        else:
+            self._remove_from_loop()
+        self._set_watch_state(OFF)
+
+    def _retry_later(self) -> None:
+        """Watch no more for now: `_on_retry` is called after `RETRY_S`."""
+        self._stop_watching()
+        self._retry_timer = self._loop.call_later(RETRY_S, self._retry)
+        self._set_watch_state(RETRYING)
+
+    def _retry(self) -> None:
+        self._retry_timer = None
+        self._set_watch_state(OFF)
+        self._on_retry()
+
+    def _set_watch_state(self, state: WatchState) -> None:
+        self._watch_state = WATCH_STATES.check(self._watch_state, state)
--- /dev/null
+++ b/corkdoor/sidecar/transport/receiver.py
@@ -0,0 +1,118 @@
+"""The input side of a stream transport."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import socket
+from typing import TYPE_CHECKING
+
+from corkdoor.log_events import LogEvent
+from corkdoor.sidecar.transport.errors import MEMORY_SHORTAGE
+from corkdoor.sidecar.transport.readiness_watch import ReadinessWatch
+from corkdoor.sidecar.transport.states import RECEIVE_STATES, ReceiveState
+from corkdoor.sidecar.transport.stream_protocol import StreamProtocol
+
+if TYPE_CHECKING:
+    from corkdoor.sidecar.transport.stream import StreamTransport
+
+READ_BYTES = 16 * 1024  # read in one call: the most that a connection holds unparsed
+log = logging.getLogger(__name__)
+READING, PAUSED, ENDED = ReceiveState  # bound once: members are slow to look up
+
+
+class Receiver(ReadinessWatch):
+    """Reads a socket whenever it has input, and hands that to the protocol.
+
+    Args:
+        loop: the event loop.
+        sock: the connected socket, which does not block.
+        protocol: gets the input.
+        transport: is closed after the peer's end, and broken by an error.
+    """
+
+    __slots__ = ("_protocol", "_socket", "_state", "_transport")
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        sock: socket.socket,
+        protocol: StreamProtocol,
+        transport: StreamTransport,
+    ) -> None:
+        super().__init__(loop, sock.fileno())
+        self._state = READING
+        self._socket = sock
+        self._protocol: StreamProtocol | None = protocol
+        self._transport: StreamTransport | None = transport
+
+    def start(self) -> None:
+        """Read from now on, unless reading is paused or input has ended."""
+        if self._state is READING:
+            self._start_watching()
+
+    def pause(self) -> None:
+        """Leave input in the kernel."""
+        if self._state is READING:
+            self._set_state(PAUSED)
+            self._stop_watching()
+
+    def resume(self) -> None:
+        """Undo `pause`."""
+        if self._state is PAUSED:
+            self._set_state(READING)
+            self._start_watching()
+
+    def end(self) -> None:
+        """Read no more, for good."""
+        if self._state is not ENDED:
+            self._set_state(ENDED)
+            self._stop_watching()
+
+    def detach(self) -> None:
+        """Let go of the protocol and the transport, which point back here."""
+        self._protocol = self._transport = None
+
+    def _add_to_loop(self) -> None:
+        self._loop.add_reader(self._descriptor, self._on_readable)
+
+    def _remove_from_loop(self) -> None:
+        self._loop.remove_reader(self._descriptor)
+
+    def _on_retry(self) -> None:
+        self.start()
+
+    def _on_readable(self) -> None:
+        protocol = self._protocol
+        if self._state is not READING or protocol is None:
+            return
+        try:
+            data = self._socket.recv(READ_BYTES)
+        except (BlockingIOError, InterruptedError):
+            return
+        except OSError as error:
+            if error.errno in MEMORY_SHORTAGE:
+                self._retry_later()
+            else:
+                self._fail(error)
+            return
+        try:
+            if data:
+                protocol.data_received(data)
+            else:
+                self._end_of_input(protocol)
+        except Exception as error:
+            log.exception(LogEvent("input_handler_failed"))
+            self._fail(error)
+
+    def _end_of_input(self, protocol: StreamProtocol) -> None:
+        self.end()
+        if not protocol.eof_received() and self._transport is not None:
+            self._transport.close()
+
+    def _fail(self, error: Exception) -> None:
+        if self._transport is not None:
+            self._transport.fail(error)
+
+    def _set_state(self, state: ReceiveState) -> None:
+        self._state = RECEIVE_STATES.check(self._state, state)
--- /dev/null
+++ b/corkdoor/sidecar/transport/socket_poller.py
@@ -0,0 +1,41 @@
+"""Asking the kernel for the state of one descriptor, without waiting and without reading."""
+
+from __future__ import annotations
+
+import logging
+import select
+import socket
+
+from corkdoor.log_events import LogEvent
+
+INPUT = select.POLLIN
+PEER_CLOSED = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+POLL_TRIES = 3
+log = logging.getLogger(__name__)
+
+
+class SocketPoller:
+    """Polls one socket; poll objects are made once per set of events.
+
+    Args:
+        sock: the socket; its descriptor must stay open while `has` is called.
+    """
+
+    __slots__ = ("_descriptor", "_polls")
+
+    def __init__(self, sock: socket.socket) -> None:
+        self._descriptor = sock.fileno()
+        self._polls: dict[int, select.poll] = {}  # by the events asked for
+
+    def has(self, events: int, otherwise: bool) -> bool:
+        """Whether any of `events` is pending; `otherwise` where the kernel can't tell."""
+        poll = self._polls.get(events)
+        if poll is None:
+            poll = self._polls[events] = select.poll()
+            poll.register(self._descriptor, events)
+        for _ in range(POLL_TRIES):
+            try:
+                return bool(poll.poll(0))
+            except OSError as error:
+                log.info(LogEvent("poll_failed", error=error.strerror))
+        return otherwise
--- a/corkdoor/sidecar/upstream.py
+++ b/corkdoor/sidecar/upstream.py
@@ -16,11 +16,12 @@
 
 from corkdoor.load_report import LoadReport, parse_load_report
 from corkdoor.model import Outcome
-from corkdoor.sidecar.bounds import Budget
 from corkdoor.sidecar.clock import Alarm, now_us
 from corkdoor.sidecar.http_fields import OPTIONAL_WHITESPACE
 from corkdoor.sidecar.invariants import Invariant, InvariantLog, Location
-from corkdoor.sidecar.stream import StreamTransport, connect
+from corkdoor.sidecar.resource_limits import ByteBudget
+from corkdoor.sidecar.transport.connector import connect
+from corkdoor.sidecar.transport.stream import StreamTransport
 
 IDLE_SHARE = 0.85  # of the time after which endpoints close idle connections, how long we keep them
 IDLE_US = 5_000_000  # that time, where it is not told
@@ -56,7 +57,7 @@
     with it: nobody can tell what its next bytes belong to.
     """
 
-    def __init__(self, owner: Owner, budget: Budget, max_body: int = MAX_BODY) -> None:
+    def __init__(self, owner: Owner, budget: ByteBudget, max_body: int = MAX_BODY) -> None:
         self.owner = owner
         self.budget = budget
         self.max_body = max_body
@@ -355,7 +356,7 @@
     """All pools, and the bound on their connections together."""
 
     def __init__(
-        self, idle_us: int, connect_timeout_us: int, most: int, budget: Budget, invariants: InvariantLog
+        self, idle_us: int, connect_timeout_us: int, most: int, budget: ByteBudget, invariants: InvariantLog
     ) -> None:
         self.invariants = invariants
         self.open = 0  # connections that are up or coming up
--- a/emulator/breakdown.py
+++ b/emulator/breakdown.py
@@ -20,13 +20,15 @@
 from corkdoor import balancer
 from corkdoor.policy.buckets import TokenBuckets
 from corkdoor.sidecar import __main__ as program
-from corkdoor.sidecar import clock, discovery, proxy, server, upstream
+from corkdoor.sidecar import clock, discovery, proxy, upstream
+from corkdoor.sidecar.clients.connection import ClientConnection
+from corkdoor.sidecar.clients.server import Server
 from emulator.sidecar import VARIABLE
 
 # The step's name, its class, and its method.
 STEPS: tuple[tuple[str, type[Any], str], ...] = (
-    ("read request", server.ClientConnection, "data_received"),
-    ("admit", server.Server, "admit"),
+    ("read request", ClientConnection, "data_received"),
+    ("admit", Server, "admit"),
     ("host take", proxy.Proxy, "take"),
     ("module order", balancer.Balancer, "on_request"),
     ("module in-use sum", balancer.Balancer, "_in_use"),
@@ -39,10 +41,10 @@
     ("read answer", upstream.Connection, "data_received"),
     ("attempt ended", proxy.Proxy, "_ended"),
     ("module reply", balancer.Balancer, "on_attempt_end"),
-    ("write to caller", server.ClientConnection, "answer"),
+    ("write to caller", ClientConnection, "answer"),
     ("alarm set", clock.Alarm, "_arm"),
     ("alarm cancelled", clock.Alarm, "cancel"),
-    ("chore: check callers", server.ClientConnection, "check"),
+    ("chore: check callers", ClientConnection, "check_timeouts"),
     ("chore: report", proxy.Proxy, "report"),
     ("list taken", proxy.Proxy, "on_list"),
     ("watch", discovery.DiscoveryWatcher, "on_response"),
--- a/emulator/hollow.py
+++ b/emulator/hollow.py
@@ -27,17 +27,17 @@
 
 from corkdoor.model import Outcome, WatchEventKind
 from corkdoor.settings_reader import read_settings
-from corkdoor.sidecar.bounds import Bounds
 from corkdoor.sidecar.clock import now_us
 from corkdoor.sidecar.config import Address, Config
 from corkdoor.sidecar.discovery import EndpointList, ResolvedEndpoint, read_endpoint_list
 from corkdoor.sidecar.proxy import Proxy
+from corkdoor.sidecar.resource_limits import ResourceLimits
 from emulator.discovery import Row
 from emulator.scenario import Load, Sidecar, settings_document, stream
 
 LATE_EVERY_S = 0.02  # how often the loop's lateness is looked at
 DRAWN = 4096  # random numbers drawn at a time
-BOUNDS = Bounds(clients=500, endpoints=400, held=1 << 24)
+RESOURCE_LIMITS = ResourceLimits(client_connections=500, endpoint_connections=400, held_bytes=1 << 24)
 
 
 class Orders(msgspec.Struct):
@@ -188,7 +188,7 @@
             listen=Address("127.0.0.1", 0),
             discovery=Address(host, int(port)),
             seed=seed,
-            bounds=BOUNDS,
+            resource_limits=RESOURCE_LIMITS,
             known=self.known[sidecar.service],
             settings=read_settings(document),
         )
--- a/emulator/microbench.py
+++ b/emulator/microbench.py
@@ -12,11 +12,11 @@
 from corkdoor.balancer import Balancer
 from corkdoor.model import Endpoint, Outcome, Readiness, Timer, WatchEventKind
 from corkdoor.settings_reader import read_settings
-from corkdoor.sidecar.bounds import Bounds
 from corkdoor.sidecar.clock import now_us
 from corkdoor.sidecar.config import Address, Config
 from corkdoor.sidecar.discovery import EndpointList, read_endpoint_list
 from corkdoor.sidecar.proxy import Proxy
+from corkdoor.sidecar.resource_limits import ResourceLimits
 from emulator.sidecar import SETTINGS, entry, listing
 
 GAP_US = 8_333  # between calls: 120 a second
@@ -125,7 +125,9 @@
         nowhere = Address("127.0.0.1", 1)
         known = read_endpoint_list(json.loads(body_of(1, True, self.rows)))
         settings = read_settings(SETTINGS)
-        self.host = Proxy(Config("n0", nowhere, nowhere, 7, Bounds(500, 400, 1 << 24), known, settings))
+        self.host = Proxy(
+            Config("n0", nowhere, nowhere, 7, ResourceLimits(500, 400, 1 << 24), known, settings)
+        )
         self.host.balancer.start(now_us())
         self.host.on_list(WatchEventKind.CACHED, known.entries)
 
--- a/tests/sidecar_support.py
+++ b/tests/sidecar_support.py
@@ -17,12 +17,22 @@
 import uvloop
 
 from corkdoor.settings_reader import read_settings
-from corkdoor.sidecar.bounds import Bounds
+from corkdoor.sidecar.clients import states as client_states
+from corkdoor.sidecar.clients.server import Server
+from corkdoor.sidecar.clients.timeouts import ClientTimeouts
 from corkdoor.sidecar.config import Address, Config
 from corkdoor.sidecar.discovery import read_endpoint_list
 from corkdoor.sidecar.proxy import Proxy
-from corkdoor.sidecar.server import Server
-
+from corkdoor.sidecar.resource_limits import ResourceLimits
+from corkdoor.sidecar.transport import states as transport_states
+from corkdoor.state_machine import TransitionTable
+
+STATE_TABLES = [
+    value
+    for module in (client_states, transport_states)
+    for value in vars(module).values()
+    if isinstance(value, TransitionTable)
+]
 PATIENCE_S = 10.0  # a test that waits longer for an event has failed
 
 SETUP: dict[str, Any] = {
@@ -210,10 +220,12 @@
         clients: int = 500,
         upstream: int = 400,
         held: int = 1 << 24,
+        timeouts: ClientTimeouts | None = None,
         **settings: Any,
     ) -> None:
+        self.timeouts = timeouts
         self.count = endpoints
-        self.bounds = Bounds(clients, upstream, held)
+        self.resource_limits = ResourceLimits(clients, upstream, held)
         self.setup = {**SETUP, **settings}
 
     async def __aenter__(self) -> Sidecar:
@@ -226,14 +238,14 @@
             listen=Address("127.0.0.1", 0),
             discovery=Address(host, int(port)),
             seed=7,
-            bounds=self.bounds,
+            resource_limits=self.resource_limits,
             known=read_endpoint_list(json.loads(listing(1, True, *rows))),
             settings=read_settings(self.setup),
         )
         self.proxy = Proxy(self.config)
         self.sweep = asyncio.create_task(self.proxy.upstream.sweep())
-        self.server = Server(self.proxy, self.bounds.clients)
-        self.watch = asyncio.create_task(self.server.watch_clients())
+        self.server = Server(self.proxy, self.resource_limits.client_connections, self.timeouts)
+        self.watch = asyncio.create_task(self.server.watch_timeouts())
         self.server.bind("127.0.0.1", 0)
         self.proxy.start()
         self.server.listener.start()
@@ -241,12 +253,14 @@
         return self
 
     async def __aexit__(self, *_: object) -> None:
+        """Close everything; no object may have made an illegal transition."""
         self.proxy.watch_discovery(False)
         self.sweep.cancel()
         self.watch.cancel()
         self.server.listener.close()
         for fake in (self.discovery, *self.endpoints):
             fake.server.close()
+        assert [table.subject for table in STATE_TABLES if table.violations] == []
 
     async def client(self) -> Client:
         return Client(*await asyncio.open_connection("127.0.0.1", self.port))
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -11,7 +11,8 @@
 
 import pytest
 
-from corkdoor.sidecar import server
+from corkdoor.sidecar.clients.connection import ClientConnection
+from corkdoor.sidecar.clients.timeouts import ClientTimeouts
 from corkdoor.sidecar.clock import now_us
 from tests.sidecar_support import Client, Sidecar, program, ready, run
 
@@ -91,7 +92,7 @@
             assert await client.reader.read() == b""
             assert sidecar.proxy.serial == 0
             assert sidecar.endpoints[0].connections == 0
-            assert sidecar.proxy.budget.held == 0
+            assert sidecar.proxy.budget.held_bytes == 0
 
     run(test())
 
@@ -134,15 +135,12 @@
 
 
 @pytest.mark.parametrize("sent", ["", "POST /pay HT", HEAD, HEAD + "Content-Length: 9\r\n\r\nhalf"])
-def test_caller_that_never_makes_a_whole_request_is_closed(
-    sent: str, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_caller_that_never_makes_a_whole_request_is_closed(sent: str) -> None:
     """Seen: one that said nothing stayed for good, and one half way for ten seconds; three are allowed."""
 
     async def test() -> None:
-        monkeypatch.setattr(server, "FIRST_S", 0.1)
-        monkeypatch.setattr(server, "CHECK_S", 0.02)
-        async with Sidecar() as sidecar:
+        timeouts = ClientTimeouts(first_request_s=0.1, check_interval_s=0.02)
+        async with Sidecar(timeouts=timeouts) as sidecar:
             discovery = await sidecar.client()
             discovery.send(deadline_ms=3_000_000)
             asked = await sidecar.endpoints[0].next()
@@ -154,20 +152,18 @@
             client.writer.close()
             while len(sidecar.server.clients) > 1:
                 await asyncio.sleep(0.01)
-            assert sidecar.proxy.budget.held == len(b"x")
+            assert sidecar.proxy.budget.held_bytes == len(b"x")
             asked.reply()
             assert (await discovery.answer()).status == 200  # one that waits for its answer is not idle
 
     run(test())
 
 
-def test_idle_caller_is_closed_in_the_end(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_idle_caller_is_closed_in_the_end() -> None:
     """Some ask once and keep their connection for good: without an end to that they add up."""
 
     async def test() -> None:
-        monkeypatch.setattr(server, "IDLE_S", 0.1)
-        monkeypatch.setattr(server, "CHECK_S", 0.02)
-        async with Sidecar() as sidecar:
+        async with Sidecar(timeouts=ClientTimeouts(idle_s=0.1, check_interval_s=0.02)) as sidecar:
             client = await sidecar.client()
             assert await ready(client) == 200
             assert await client.reader.read() == b""
@@ -176,7 +172,7 @@
     run(test())
 
 
-def test_callers_past_the_bound_close_those_that_never_asked_first(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_callers_past_the_bound_close_those_that_never_asked_first() -> None:
     """Seen in the code: the one connected longest was closed, and that is likely a good one."""
 
     async def test() -> None:
@@ -192,7 +188,7 @@
             # All are at work or were lately: the new one has asked for nothing and is closed at once.
             extra = await sidecar.client()
             assert await extra.reader.read() == b""
-            monkeypatch.setattr(server, "SPARE_S", 0.0)
+            sidecar.server.clients.evictable_idle_s = 0.0
             newest = await sidecar.client()
             assert await good.reader.read() == b""  # the one idle longest
             assert [await ready(newest), await ready(younger)] == [200, 200]
@@ -209,23 +205,23 @@
     """Many may connect in one turn of the loop: the first has asked before the last is taken in."""
 
     async def test() -> None:
-        monkeypatch.setattr(server, "SPARE_S", 0.0)
-        async with Sidecar(clients=2) as sidecar:
+        async with Sidecar(clients=2, timeouts=ClientTimeouts(evictable_idle_s=0.0)) as sidecar:
             with socket.create_connection(("127.0.0.1", sidecar.port)) as first:
                 if asked_before:
                     first.sendall(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
-                while not (sidecar.server.idle if asked_before else sidecar.server.fresh):
+                clients = sidecar.server.clients
+                while not (clients.idle_count if asked_before else clients.new_count):
                     await asyncio.sleep(0.01)
                 other = await sidecar.client()
                 if asked_before:
                     assert await ready(other) == 200
-                joined = sidecar.server.joined
+                add = clients.add
 
-                def at_that_moment(caller: server.ClientConnection) -> None:
+                def at_that_moment(caller: ClientConnection) -> None:
                     first.sendall(f"{HEAD}Content-Length: 1\r\n\r\nx".encode())
-                    joined(caller)
+                    add(caller)
 
-                monkeypatch.setattr(sidecar.server, "joined", at_that_moment)
+                monkeypatch.setattr(clients, "add", at_that_moment)
                 await sidecar.client()
                 assert await other.reader.read() == b""
                 (await sidecar.endpoints[0].next()).reply()
@@ -251,7 +247,7 @@
             first.send(body=b"x" * 700)
             (await sidecar.endpoints[0].next()).reply()
             assert (await first.answer()).status == 200
-            assert sidecar.proxy.budget.held == 0
+            assert sidecar.proxy.budget.held_bytes == 0
 
     run(test())
 
@@ -271,13 +267,11 @@
     run(test())
 
 
-def test_caller_that_reads_no_answer_gets_no_more_of_them(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_caller_that_reads_no_answer_gets_no_more_of_them() -> None:
     """Answers pile up in this process where their caller does not read them."""
 
     async def test() -> None:
-        monkeypatch.setattr(server, "IDLE_S", 0.2)
-        monkeypatch.setattr(server, "CHECK_S", 0.02)
-        async with Sidecar() as sidecar:
+        async with Sidecar(timeouts=ClientTimeouts(idle_s=0.2, check_interval_s=0.02)) as sidecar:
             client = await sidecar.client()
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
             endpoint = sidecar.endpoints[0]
@@ -373,22 +367,20 @@
     run(test())
 
 
-def test_answer_that_closes_has_time_to_leave(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_answer_that_closes_has_time_to_leave() -> None:
     """The caller's clock still stood at its request: its last answer could be cut off while it left."""
 
     async def test() -> None:
-        monkeypatch.setattr(server, "CHECK_S", 0.01)
-        monkeypatch.setattr(server, "LINGER_S", 0.5)
-        async with Sidecar() as sidecar:
+        async with Sidecar(timeouts=ClientTimeouts(linger_s=0.5, check_interval_s=0.01)) as sidecar:
             client = await sidecar.client()
             client.send(Connection="close")
             asked = await sidecar.endpoints[0].next()
             (caller,) = sidecar.server.clients
-            caller.since_us -= 60_000_000
+            caller.phase_started_us -= 60_000_000
             asked.reply(200, b"x" * 60_000)
             answer = await client.answer()
             assert len(answer.body) == 60_000
-            assert now_us() - caller.since_us < 10_000_000
+            assert now_us() - caller.phase_started_us < 10_000_000
             assert await client.reader.read() == b""
 
     run(test())
--- a/tests/test_crowding.py
+++ b/tests/test_crowding.py
@@ -6,21 +6,23 @@
 
 import pytest
 
-from corkdoor.sidecar import proxy, server, upstream
+from corkdoor.sidecar import proxy, upstream
+from corkdoor.sidecar.clients import connection, read_flow, registry, server
+from corkdoor.sidecar.clients.timeouts import ClientTimeouts
 from corkdoor.sidecar.clock import now_us
 from tests.sidecar_support import Asked, Client, Sidecar, run
 
+# A slow machine may check clients before they are in use, and would close them by the test's clock.
+PATIENT = ClientTimeouts(first_request_s=3600.0, idle_s=3600.0)
+
 
 class Clock:
     """The sidecar's time, which only the test moves on."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.us = now_us()
-        for module in (proxy, server, upstream):
+        for module in (proxy, upstream, connection, read_flow, registry, server):
             monkeypatch.setattr(module, "now_us", lambda: self.us)
-        # A slow machine comes to look at callers that are not yet in use, and would close them by this clock.
-        monkeypatch.setattr(server, "FIRST_S", 3600.0)
-        monkeypatch.setattr(server, "IDLE_S", 3600.0)
 
 
 def arrivals(sidecar: Sidecar) -> asyncio.Queue[Asked]:
@@ -100,7 +102,7 @@
 
     async def test() -> None:
         clock = Clock(monkeypatch)
-        async with Sidecar() as sidecar:
+        async with Sidecar(timeouts=PATIENT) as sidecar:
             queue = arrivals(sidecar)
             limit = sidecar.proxy.balancer.placements[0].local.limit
             clients = [await sidecar.client() for _ in range(60)]
@@ -121,7 +123,7 @@
 
     async def test() -> None:
         clock = Clock(monkeypatch)
-        async with Sidecar(endpoints=4) as sidecar:
+        async with Sidecar(endpoints=4, timeouts=PATIENT) as sidecar:
             queue = arrivals(sidecar)
             limit = sidecar.proxy.balancer.placements[0].local.limit
             await fail_until_ejected(sidecar, queue, 2, clock)
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -12,7 +12,8 @@
 
 from corkdoor import balancer
 from corkdoor.model import WatchEventKind
-from corkdoor.sidecar import server
+from corkdoor.sidecar.clients.backlog import MAX_WAITING_REQUESTS
+from corkdoor.sidecar.clients.timeouts import ClientTimeouts
 from corkdoor.sidecar.discovery import read_endpoint_list
 from corkdoor.sidecar.upstream import Connection
 from tests.sidecar_support import SETUP, Client, Sidecar, first_asked, read_message, row, run
@@ -20,7 +21,7 @@
 
 async def noticed(sidecar: Sidecar) -> None:
     """Wait until no request of a caller is open, neither taken nor waiting behind another."""
-    while any(caller.busy for caller in sidecar.server.clients):
+    while any(caller.is_busy for caller in sidecar.server.clients):
         await asyncio.sleep(0.01)
 
 
@@ -100,7 +101,7 @@
     run(test())
 
 
-@pytest.mark.parametrize("behind", [1, server.MAX_WAITING])
+@pytest.mark.parametrize("behind", [1, MAX_WAITING_REQUESTS])
 def test_client_that_leaves_behind_its_earlier_request(behind: int) -> None:
     """With so many behind the first that nothing more is read, the loop is told of no end."""
 
@@ -111,9 +112,11 @@
             asked = await sidecar.endpoints[0].next()
             for _ in range(behind):
                 client.send(deadline_ms=3_000_000)
-            while not any(len(caller.waiting) == behind for caller in sidecar.server.clients):
+            while not any(caller.waiting_requests == behind for caller in sidecar.server.clients):
                 await asyncio.sleep(0.01)
-            assert any(caller.paused for caller in sidecar.server.clients) == (behind == server.MAX_WAITING)
+            assert any(caller.is_reading_paused for caller in sidecar.server.clients) == (
+                behind == MAX_WAITING_REQUESTS
+            )
             client.writer.close()
             assert await sidecar.endpoints[0].ends.get() == asked.connection  # the attempt is called off
             await only_this_arrives(sidecar, other)
@@ -122,24 +125,23 @@
     run(test())
 
 
-def test_client_that_leaves_with_its_answers_unread(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_client_that_leaves_with_its_answers_unread() -> None:
     """Its connection closes once these are read, and what waited behind them must not go out first."""
 
     async def test() -> None:
-        monkeypatch.setattr(server, "LINGER_S", 60.0)
-        async with Sidecar() as sidecar:
+        async with Sidecar(timeouts=ClientTimeouts(linger_s=60.0)) as sidecar:
             client, other = await sidecar.client(), await sidecar.client()
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
             port = client.writer.get_extra_info("sockname")[1]
-            (caller,) = [c for c in sidecar.server.clients if c.transport.peer_port() == port]
-            while not caller.stuck:
+            (caller,) = [c for c in sidecar.server.clients if c.peer_port() == port]
+            while not caller.is_output_blocked:
                 client.send()
                 (await sidecar.endpoints[0].next()).reply(200, b"x" * 65_000)
-                while caller.current is not None:
+                while caller.current_request is not None:
                     await asyncio.sleep(0.001)
             client.send(request_id="behind")
             client.writer.write_eof()
-            while not caller.ended:
+            while not caller.has_input_ended:
                 await asyncio.sleep(0.01)
             client.writer.transport.resume_reading()  # type: ignore[attr-defined]
             while caller in sidecar.server.clients:
@@ -319,10 +321,10 @@
     async def test() -> None:
         async with Sidecar() as sidecar:
             client, other = blocking(sidecar, "first", 3_000_000), await sidecar.client()
-            for n in range(server.MAX_WAITING):
+            for n in range(MAX_WAITING_REQUESTS):
                 client.sendall(asks(f"behind-{n}", 3_000_000))
             asked = await sidecar.endpoints[0].next()
-            while not any(caller.paused for caller in sidecar.server.clients):
+            while not any(caller.is_reading_paused for caller in sidecar.server.clients):
                 await asyncio.sleep(0.01)
             asked.reply()
             leave(client)
--- a/tests/test_draining.py
+++ b/tests/test_draining.py
@@ -89,7 +89,7 @@
             await sidecar.endpoints[0].next()
             client.send(deadline_ms=30_000)
             client.send(deadline_ms=30_000)
-            while sum(len(caller.waiting) for caller in sidecar.server.clients) < 2:
+            while sum(caller.waiting_requests for caller in sidecar.server.clients) < 2:
                 await asyncio.sleep(0.01)
             await entry.drain(sidecar.server, sidecar.proxy)
             assert [(await client.answer()).status for _ in range(3)] == [504, 503, 503]
@@ -107,7 +107,7 @@
         async with Sidecar() as sidecar:
             client = await sidecar.client()
             client.writer.write(REQUEST[:-1] % 1)
-            while not any(caller.receiving for caller in sidecar.server.clients):
+            while not any(caller.is_receiving for caller in sidecar.server.clients):
                 await asyncio.sleep(0.01)
             drain = asyncio.create_task(entry.drain(sidecar.server, sidecar.proxy))
             answer = await client.answer()
@@ -130,7 +130,7 @@
             busy.send(deadline_ms=30_000)
             await sidecar.endpoints[0].next()
             late.sendall(REQUEST[:-1] % 1)
-            while not any(caller.receiving for caller in sidecar.server.clients):
+            while not any(caller.is_receiving for caller in sidecar.server.clients):
                 await asyncio.sleep(0.01)
             at("drain: ends", lambda: late.sendall(b"x" + REQUEST % 2))
             await entry.drain(sidecar.server, sidecar.proxy)
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -9,10 +9,10 @@
 import pytest
 
 from corkdoor.model import WatchEventKind
+from corkdoor.sidecar.clients.connection import ClientConnection
 from corkdoor.sidecar.clock import Alarm
 from corkdoor.sidecar.discovery import read_endpoint_list
 from corkdoor.sidecar.proxied_request import ProxiedRequest
-from corkdoor.sidecar.server import ClientConnection
 from corkdoor.sidecar.upstream import Attempt, Connection, Pool
 from tests.sidecar_support import Fake, Sidecar, row, run
 
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -9,6 +9,7 @@
 
 from corkdoor.model import DeduplicationScope, Idempotency, Outcome
 from corkdoor.settings import Limits, RequestClass
+from corkdoor.sidecar.clients.close_reason import CloseReason
 from corkdoor.sidecar.invariants import (
     HELD_UP_US,
     Invariant,
@@ -116,7 +117,7 @@
         async with Sidecar() as sidecar:
             asked, client = await one_attempt(sidecar)
             (caller,) = sidecar.server.clients
-            caller.close("a mistake")
+            caller.close(CloseReason.IDLE)
             assert sidecar.proxy.invariants.broken[Invariant.CLOSED_UNANSWERED] == 1
             asked.reply()
             assert (await client.answer()).status == 200
--- a/tests/test_live_settings.py
+++ b/tests/test_live_settings.py
@@ -14,9 +14,8 @@
 import pytest
 
 from corkdoor.settings_reader import read_settings
-from corkdoor.sidecar import server
-from corkdoor.sidecar.bounds import Bounds
 from corkdoor.sidecar.config import Config, ConfigError, load
+from corkdoor.sidecar.resource_limits import ResourceLimits
 from corkdoor.sidecar.upstream import Connection, Upstream
 from tests.sidecar_support import SETUP, Client, Fake, Program, Sidecar, listing, program, ready, row, run
 from tests.test_crowding import arrivals
@@ -25,11 +24,18 @@
 LOOK, HOLD, PAY = SETUP["Categories"]
 
 
-def changed(sidecar: Sidecar, digest: str = "d1", bounds: Bounds | None = None, **settings: Any) -> Config:
+def changed(
+    sidecar: Sidecar, digest: str = "d1", resource_limits: ResourceLimits | None = None, **settings: Any
+) -> Config:
     """The configuration in force, but for these settings."""
     now = sidecar.proxy.config
     setup = {**sidecar.setup, **settings}
-    return replace(now, settings=read_settings(setup), digest=digest, bounds=bounds or now.bounds)
+    return replace(
+        now,
+        settings=read_settings(setup),
+        digest=digest,
+        resource_limits=resource_limits or now.resource_limits,
+    )
 
 
 def reload(sidecar: Sidecar, **changes: Any) -> None:
@@ -178,7 +184,7 @@
             silent = [await sidecar.client() for _ in range(3)]
             while len(sidecar.server.clients) < 6:
                 await asyncio.sleep(0.001)
-            reload(sidecar, bounds=Bounds(2, 400, 1 << 24))
+            reload(sidecar, resource_limits=ResourceLimits(2, 400, 1 << 24))
             for client in silent:
                 assert await client.reader.read() == b""
             late = await sidecar.client()
@@ -192,7 +198,7 @@
             assert sorted(closed) == [False, False, True]
             while len(sidecar.server.clients) > 2:
                 await asyncio.sleep(0.001)
-            reload(sidecar, bounds=Bounds(6, 400, 1 << 24))
+            reload(sidecar, resource_limits=ResourceLimits(6, 400, 1 << 24))
             more = await sidecar.client()
             more.send()
             (await sidecar.endpoints[0].next()).reply()
@@ -201,9 +207,7 @@
     run(test())
 
 
-def test_callers_between_requests_make_room_past_a_lowered_bound_once_they_can_be_spared(
-    monkeypatch: pytest.MonkeyPatch,
-) -> None:
+def test_callers_between_requests_make_room_past_a_lowered_bound_once_they_can_be_spared() -> None:
     async def test() -> None:
         async with Sidecar() as sidecar:
             clients = [await sidecar.client() for _ in range(4)]
@@ -211,10 +215,10 @@
                 client.send()
                 (await sidecar.endpoints[0].next()).reply()
                 assert (await client.answer()).status == 200
-            monkeypatch.setattr(server, "SPARE_S", 3600.0)  # all have been in use just now
-            reload(sidecar, bounds=Bounds(2, 400, 1 << 24))
+            sidecar.server.clients.evictable_idle_s = 3600.0  # all have been in use just now
+            reload(sidecar, resource_limits=ResourceLimits(2, 400, 1 << 24))
             assert len(sidecar.server.clients) == 4
-            monkeypatch.setattr(server, "SPARE_S", 0.0)
+            sidecar.server.clients.evictable_idle_s = 0.0
             late = await sidecar.client()
             late.send()
             (await sidecar.endpoints[0].next()).reply()
@@ -236,9 +240,9 @@
             asked[0].reply()
             assert (await clients[0].answer()).status == 200
             assert upstream.open == 4
-            reload(sidecar, bounds=Bounds(500, 2, 1 << 20))
+            reload(sidecar, resource_limits=ResourceLimits(500, 2, 1 << 20))
             assert await fake.ends.get() == asked[0].connection  # the idle one
-            assert (upstream.open, sidecar.proxy.budget.most) == (3, 1 << 20)
+            assert (upstream.open, sidecar.proxy.budget.limit_bytes) == (3, 1 << 20)
             assert (await clients[0].ask()).status == 503  # no room for one more, and it was sent nowhere
             for one in asked[1:]:
                 one.reply()
@@ -302,7 +306,7 @@
 def test_what_a_process_is_known_by_is_refused_with_all_the_rest(key: str) -> None:
     async def test() -> None:
         async with Sidecar() as sidecar:
-            config = changed(sidecar, bounds=Bounds(7, 7, 7), **without_pay())
+            config = changed(sidecar, resource_limits=ResourceLimits(7, 7, 7), **without_pay())
             if key == "Layer":
                 config = replace(config, settings=replace(config.settings, layer=1, layer_count=2))
             elif key == "name":
@@ -314,7 +318,7 @@
             with pytest.raises(ConfigError, match=f"{key}: .* can't become .* while the process runs"):
                 sidecar.server.reload(config)
             assert (sidecar.proxy.config, sidecar.proxy.balancer.settings) == before
-            assert (sidecar.server.most, sidecar.proxy.upstream.most) == (500, 400)
+            assert (sidecar.server.clients.limit, sidecar.proxy.upstream.most) == (500, 400)
             assert sidecar.proxy.watcher.port == before[0].discovery.port
             client = await sidecar.client()
             client.send()
@@ -328,7 +332,7 @@
     async def test() -> None:
         async with Sidecar() as sidecar:
             reload(sidecar, Categories=[{**LOOK, "DeadlineUs": 700_000}])
-            assert sidecar.server.longest_s == 0.7
+            assert sidecar.server.admission.longest_deadline_s == 0.7
 
     run(test())
 
--- a/tests/test_pipelining.py
+++ b/tests/test_pipelining.py
@@ -7,7 +7,9 @@
 
 import pytest
 
-from corkdoor.sidecar import server
+from corkdoor.sidecar.clients.backlog import MAX_WAITING_REQUESTS, PARSE_CHUNK_BYTES
+from corkdoor.sidecar.clients.connection import ClientConnection
+from corkdoor.sidecar.clients.timeouts import ClientTimeouts
 from tests.sidecar_support import Client, Sidecar, run
 
 LONG_MS = 60_000
@@ -37,7 +39,7 @@
             for number in range(count):
                 answer = await client.answer()
                 assert (answer.status, answer.body) == (200, f"n-{number}".encode())
-            assert sidecar.proxy.budget.held == 0
+            assert sidecar.proxy.budget.held_bytes == 0
             serving.cancel()
 
     run(test(), 30.0)
@@ -52,15 +54,15 @@
             send_at_once(client, 300)
             await sidecar.endpoints[0].next()
             (caller,) = sidecar.server.clients
-            while not caller.paused:
+            while not caller.is_reading_paused:
                 await asyncio.sleep(0.01)
-            assert len(caller.waiting) < server.MAX_WAITING + server.PARSED_AT_ONCE // len(
+            assert caller.waiting_requests < MAX_WAITING_REQUESTS + PARSE_CHUNK_BYTES // len(
                 "GET /a HTTP/1.1\r\n\r\n"
             )
             client.writer.close()
             while sidecar.server.clients:
                 await asyncio.sleep(0.01)
-            assert sidecar.proxy.budget.held == 0
+            assert sidecar.proxy.budget.held_bytes == 0
             assert sidecar.endpoints[0].asked.empty()
 
     run(test())
@@ -72,7 +74,8 @@
             client = await sidecar.client()
             send_at_once(client, 30)
             asked = await sidecar.endpoints[0].next()
-            sidecar.server.draining = sidecar.server.leaving = True
+            sidecar.server.start_draining()
+            sidecar.server.start_closing_connections()
             asked.reply(200, b"n-0")
             serving = asyncio.create_task(serve(sidecar))
             for number in range(30):
@@ -99,7 +102,7 @@
                 answers += 1
             assert answer.status == 400
             assert await client.reader.read() == b""
-            assert sidecar.proxy.budget.held == 0
+            assert sidecar.proxy.budget.held_bytes == 0
             serving.cancel()
 
     run(test())
@@ -141,7 +144,7 @@
                 answer = await client.answer()
                 assert (answer.status, answer.body) == (200, f"n-{number}".encode())
             await sending
-            assert sidecar.proxy.budget.held == 0
+            assert sidecar.proxy.budget.held_bytes == 0
             serving.cancel()
 
     run(test(), 30.0)
@@ -153,14 +156,14 @@
         await client.writer.drain()
 
 
-async def unread_answers(sidecar: Sidecar, client: Client) -> server.ClientConnection:
+async def unread_answers(sidecar: Sidecar, client: Client) -> ClientConnection:
     """Let answers pile up until the sidecar reads no more from the client."""
     client.writer.transport.pause_reading()  # type: ignore[attr-defined]
     (caller,) = sidecar.server.clients
-    while not caller.stuck:
+    while not caller.is_output_blocked:
         client.send(request_id=f"big-{client.serial}", deadline_ms=LONG_MS)
         (await sidecar.endpoints[0].next()).reply(200, b"x" * 65_000)
-        while caller.current is not None:
+        while caller.current_request is not None:
             await asyncio.sleep(0.001)
     return caller
 
@@ -176,7 +179,7 @@
             client.writer.transport.resume_reading()  # type: ignore[attr-defined]
             for _ in range(client.serial):
                 assert (await client.answer()).status == 200
-            while caller.paused:
+            while caller.is_reading_paused:
                 await asyncio.sleep(0.01)
             client.send("pay", deadline_ms=400, request_id="later")
             asked = await sidecar.endpoints[0].next()
@@ -187,23 +190,22 @@
     run(test())
 
 
-def test_caller_that_does_not_read_its_last_answer_is_gone_soon(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_caller_that_does_not_read_its_last_answer_is_gone_soon() -> None:
     """The connection closes after that answer, and would wait for good until all of it is taken."""
-    monkeypatch.setattr(server, "LINGER_S", 0.2)
-    monkeypatch.setattr(server, "IDLE_S", 0.2)
-    monkeypatch.setattr(server, "CHECK_S", 0.02)
+    timeouts = ClientTimeouts(linger_s=0.2, idle_s=0.2, check_interval_s=0.02)
 
     async def test() -> None:
-        async with Sidecar() as sidecar:
+        async with Sidecar(timeouts=timeouts) as sidecar:
             client = await sidecar.client()
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
             (caller,) = sidecar.server.clients
-            while not caller.transport.unsent():
+            while not caller.buffered_bytes():
                 client.send(request_id=f"big-{client.serial}", deadline_ms=LONG_MS)
                 (await sidecar.endpoints[0].next()).reply(200, b"x" * 30_000)
-                while caller.current is not None:
+                while caller.current_request is not None:
                     await asyncio.sleep(0.001)
-            sidecar.server.leaving = True
+            sidecar.server.start_draining()
+            sidecar.server.start_closing_connections()
             client.send(request_id="last", deadline_ms=LONG_MS)
             (await sidecar.endpoints[0].next()).reply(200, b"x" * 30_000)
             while sidecar.server.clients:
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -116,7 +116,8 @@
             client.send(body=b"0")
             client.send(body=b"1")
             asked = await sidecar.endpoints[0].next()
-            sidecar.server.leaving = True
+            sidecar.server.start_draining()
+            sidecar.server.start_closing_connections()
             asked.reply(200, asked.message.body)
             asked = await sidecar.endpoints[0].next()
             asked.reply(200, asked.message.body)
--- a/tests/test_stalled_callers.py
+++ b/tests/test_stalled_callers.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from corkdoor.sidecar import server
+from corkdoor.sidecar.clients.timeouts import ClientTimeouts
 from tests.sidecar_support import SETUP, Client, Sidecar, run
 
 ALLOWED_S = 3.0  # bad clients are owed their error or close within so long
@@ -40,13 +40,12 @@
     run(test())
 
 
-def test_caller_that_writes_slowly_and_goes_on_is_served(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_caller_that_writes_slowly_and_goes_on_is_served() -> None:
     """It takes several times as long as a pause may."""
 
     async def test() -> None:
-        monkeypatch.setattr(server, "STALLED_S", 0.5)
-        monkeypatch.setattr(server, "CHECK_S", 0.02)
-        async with Sidecar(Categories=LONG_DEADLINES) as sidecar:
+        timeouts = ClientTimeouts(stalled_request_s=0.5, check_interval_s=0.02)
+        async with Sidecar(timeouts=timeouts, Categories=LONG_DEADLINES) as sidecar:
             client = await served_once(sidecar)
             for place in range(0, len(WHOLE), 8):
                 client.writer.write(WHOLE[place : place + 8])
@@ -57,13 +56,12 @@
     run(test())
 
 
-def test_caller_that_goes_on_for_ever_is_closed_in_the_end(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_caller_that_goes_on_for_ever_is_closed_in_the_end() -> None:
     """No longer than the longest deadline: an answer would be of no use by then."""
 
     async def test() -> None:
-        monkeypatch.setattr(server, "CHECK_S", 0.02)
         shorter = [{**class_name, "DeadlineUs": 1_000_000} for class_name in SETUP["Categories"]]
-        async with Sidecar(Categories=shorter) as sidecar:
+        async with Sidecar(timeouts=ClientTimeouts(check_interval_s=0.02), Categories=shorter) as sidecar:
             client = await served_once(sidecar)
             begun = time.monotonic()
             client.writer.write(HEAD)
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -12,9 +12,9 @@
 
 from corkdoor.model import Outcome, WatchEventKind
 from corkdoor.sidecar import proxied_request, upstream
-from corkdoor.sidecar.bounds import Budget
 from corkdoor.sidecar.discovery import ResolvedEndpoint, read_endpoint_list
 from corkdoor.sidecar.invariants import InvariantLog, Location
+from corkdoor.sidecar.resource_limits import ByteBudget
 from corkdoor.sidecar.upstream import Attempt, Response, Upstream
 from tests.sidecar_support import (
     SETUP,
@@ -115,7 +115,7 @@
             listener = socket.create_server(("127.0.0.1", 0))
             listener.setblocking(False)
             ended: asyncio.Queue[Outcome] = asyncio.Queue()
-            upstream = Upstream(0, 1_000_000, 4, Budget(1 << 20), InvariantLog())
+            upstream = Upstream(0, 1_000_000, 4, ByteBudget(1 << 20), InvariantLog())
             upstream.place("e", "127.0.0.1", listener.getsockname()[1], 0)
 
             def on_end(
@@ -142,7 +142,7 @@
         for filler in fillers:  # take what the backlog holds: the next handshake gets no answer
             filler.setblocking(False)
             filler.connect_ex(full.getsockname())
-        upstream = Upstream(0, 100_000, 4, Budget(1 << 20), InvariantLog())
+        upstream = Upstream(0, 100_000, 4, ByteBudget(1 << 20), InvariantLog())
         upstream.place("e", "127.0.0.1", full.getsockname()[1], 0)
         ended: asyncio.Queue[Outcome] = asyncio.Queue()
         upstream.send(Attempt(0, "e", HERE, lambda _: b"x", lambda _, outcome, __: ended.put_nowait(outcome)))
@@ -160,7 +160,7 @@
         listener = socket.create_server(("127.0.0.1", 0))
         listener.setblocking(False)
         loop = asyncio.get_running_loop()
-        upstream = Upstream(0, 1_000_000, 4, Budget(1 << 20), InvariantLog())
+        upstream = Upstream(0, 1_000_000, 4, ByteBudget(1 << 20), InvariantLog())
         upstream.place("e", "127.0.0.1", listener.getsockname()[1], 0)
         ended: asyncio.Queue[Outcome] = asyncio.Queue()
 
@@ -291,7 +291,7 @@
             assert (answer.status, answer.body) == (502, b"")
             assert await asyncio.wait_for(ended(sidecar), 2) == 0
             assert all(fake.asked.empty() for fake in sidecar.endpoints)
-            assert (sidecar.proxy.upstream.open, sidecar.proxy.budget.held) == (0, 0)
+            assert (sidecar.proxy.upstream.open, sidecar.proxy.budget.held_bytes) == (0, 0)
 
     run(test())
 
--- a/tests/test_watching.py
+++ b/tests/test_watching.py
@@ -29,7 +29,7 @@
 from corkdoor.settings import LifecycleRules
 from corkdoor.sidecar import discovery
 from corkdoor.sidecar.config import Address
-from corkdoor.sidecar.stream import connect
+from corkdoor.sidecar.transport.connector import connect
 from tests.sidecar_support import Sidecar, listing, read_message, row, run
 from tests.support import Host, S, settings
 
