--- a/corkdoor/balancer.py
+++ b/corkdoor/balancer.py
@@ -19,7 +19,7 @@
 from corkdoor.model import DiscoveryMode, Endpoint, Idempotency, Outcome, Timer, WatchEventKind
 from corkdoor.policy.buckets import BASE_COST_RU, REFILL_WINDOW_US, TokenBuckets
 from corkdoor.policy.concurrency import START_CALLS
-from corkdoor.policy.discovery_polling import DiscoveryPolling
+from corkdoor.policy.discovery.polling import DiscoveryPolling
 from corkdoor.policy.endpoints import DepartedEndpoints, EndpointState
 from corkdoor.policy.idle_connections import IDLE_STEPS, IdleConnections
 from corkdoor.policy.latency import LatencyRatio, ServiceTimes
@@ -189,16 +189,16 @@
         if self.endpoints:
             self._fill_pools()
         if settings.discovery_mode is not old.discovery_mode:  # what counts as told is another thing by now
-            self.discovery.ask(now_us)
+            self.discovery.poll(now_us)
         if self.queue.count:
             self._dispatch(now_us)
 
     def on_watch_event(self, now_us: int, form: WatchEventKind, entries: Sequence[Endpoint]) -> None:
         if form in FAILURES:
-            self.discovery.failed(now_us, form)
+            self.discovery.on_failure(now_us, form)
             return
         if form is not WatchEventKind.CACHED:
-            self.discovery.told(now_us, bare=not entries)
+            self.discovery.on_answer(now_us, empty=not entries)
         if form is not WatchEventKind.DELTA:
             listed = {e.id for e in entries}
             for known in [e for e in self.endpoints.values() if e.id not in listed]:
@@ -254,7 +254,7 @@
 
     def on_discovery_moved(self, now_us: int) -> None:
         """Discovery is at another address, and has not been asked there."""
-        self.discovery.moved(now_us)
+        self.discovery.on_address_changed(now_us)
 
     def _fill_pools(self) -> None:
         """Divide all endpoints anew: the constraints of the classes, or the sidecar's zone, are others."""
@@ -303,7 +303,7 @@
 
     def on_timer(self, now_us: int, timer: Timer) -> None:
         if timer is Timer.DISCOVERY_POLL:
-            self.discovery.woken(now_us)
+            self.discovery.on_timer(now_us)
         elif timer is Timer.QUEUE_SWEEP and now_us >= self.sweep_at >= 0:
             self.sweep_at = -1
             self._sweep(now_us)
--- /dev/null
+++ b/corkdoor/policy/discovery/polling.py
@@ -0,0 +1,121 @@
+"""The calls of one instance to discovery, from one to the next.
+
+Joins the rules of this package: it passes them what became of each call, and starts the next call after the
+wait that the first rule concerned returns.
+"""
+
+from __future__ import annotations
+
+import random
+
+from corkdoor.interface import Actions
+from corkdoor.model import Timer, WatchEventKind
+from corkdoor.policy.discovery.address_debounce import AddressDebounce
+from corkdoor.policy.discovery.failure_backoff import FailureBackoff
+from corkdoor.policy.discovery.fair_turns import FairTurns
+from corkdoor.policy.discovery.immediate_retry import ImmediateRetry
+from corkdoor.policy.discovery.list_freshness import ListFreshness
+from corkdoor.policy.discovery.poll_limits import poll_limits
+from corkdoor.policy.discovery.poll_state import POLL_TRANSITIONS, PollState
+from corkdoor.settings import Settings
+
+
+class DiscoveryPolling:
+    """Opens and closes the watch on discovery, by what became of the last call.
+
+    A call that is answered is followed by a watch, which the host keeps open by itself.
+    """
+
+    def __init__(self, settings: Settings, now_us: int, actions: Actions, rng: random.Random) -> None:
+        limits = poll_limits(settings)
+        self.actions = actions
+        self.random = rng
+        self.freshness = ListFreshness(settings, now_us)
+        self.immediate_retry = ImmediateRetry()
+        self.turns = FairTurns(settings, limits)
+        self.backoff = FailureBackoff(limits)
+        self.debounce = AddressDebounce()
+        self.state = PollState.CALLING
+        self.call_began_us = now_us  # the call that is out, or the last one
+        self.next_poll_us: int | None = None  # when the timer starts the next call; None while one is out
+
+    def configure(self, settings: Settings) -> None:
+        """Put other settings in force."""
+        limits = poll_limits(settings)
+        self.backoff.limits = limits
+        self.turns.configure(settings, limits)
+        self.freshness.configure(settings)
+
+    def poll(self, now_us: int) -> None:
+        """Start a call."""
+        self._enter(PollState.CALLING, None)
+        self.call_began_us = now_us
+        self.actions.watch_discovery(True)
+
+    def on_timer(self, now_us: int) -> None:
+        """Start the next call where it is due; timers that were overtaken do nothing."""
+        if self.next_poll_us is not None and now_us >= self.next_poll_us:
+            self.poll(now_us)
+
+    def on_failure(self, now_us: int, kind: WatchEventKind) -> None:
+        """Schedule the next call after one that failed; a host may report a failure more than once."""
+        if self.state is not PollState.CALLING:
+            return
+        spent_us = now_us - self.call_began_us
+        self.freshness.on_failure(now_us, kind, spent_us)
+        self._schedule(PollState.BACKING_OFF, now_us, self._wait_after_failure_us(now_us, kind, spent_us))
+
+    def on_answer(self, now_us: int, empty: bool) -> None:
+        """Take note of an answer; at an overloaded discovery the watch rests after it.
+
+        Args:
+            now_us: the time, in microseconds.
+            empty: whether it held no endpoint. It may stand in place of changes, so the watch goes on.
+        """
+        if not empty and not self.freshness.watch_open:
+            self.turns.learn(now_us - self.call_began_us)
+        self._restart_rules(now_us)
+        self.backoff.on_answer()
+        self.freshness.on_answer(now_us, empty)
+        rest_us = 0 if empty else self.turns.take_rest_us(self.random)
+        if rest_us:
+            self.freshness.on_watch_closed()
+            self.actions.watch_discovery(False)
+            self._schedule(PollState.RESTING, now_us, rest_us)
+
+    def on_address_changed(self, now_us: int) -> None:
+        """Poll discovery at its new address."""
+        self.freshness.on_address_changed(now_us)
+        self._restart_rules(now_us)
+        self.backoff.on_address_changed()
+        wait_us = self.debounce.wait_us(now_us)
+        if wait_us:
+            self._schedule(PollState.SETTLING, now_us, wait_us)
+        else:
+            self.poll(now_us)
+
+    def _restart_rules(self, now_us: int) -> None:
+        self.call_began_us = now_us
+        self.immediate_retry.reset()
+        self.turns.restart()
+
+    def _wait_after_failure_us(self, now_us: int, kind: WatchEventKind, spent_us: int) -> int:
+        # Guards against instances that poll in step after discovery has rejected them all.
+        jitter = self.random.random()
+        overloaded = self.turns.rejected_at_once(kind, spent_us)
+        retried = self.immediate_retry.count > 0
+        wait_us = self.immediate_retry.wait_us(kind, jitter)
+        if wait_us is not None:
+            return wait_us
+        if overloaded:
+            self.backoff.on_failure()
+            return self.turns.wait_us(spent_us, self.freshness.answer_due_us() - now_us, jitter)
+        return self.backoff.wait_us(kind, spent_us, retried, jitter)
+
+    def _schedule(self, state: PollState, now_us: int, wait_us: int) -> None:
+        self._enter(state, now_us + wait_us)
+        self.actions.start_timer(wait_us, Timer.DISCOVERY_POLL)
+
+    def _enter(self, state: PollState, next_poll_us: int | None) -> None:
+        self.state = POLL_TRANSITIONS.check(self.state, state)
+        self.next_poll_us = next_poll_us
--- /dev/null
+++ b/corkdoor/policy/discovery/watch_timeout.py
@@ -0,0 +1,50 @@
+"""How long a watch lets discovery wait for a change before it answers.
+
+Inputs: what became of the calls, and jitter. Returns the wait of the next watch in milliseconds. Discovery
+serves its calls in turn, so they should be few: each answer doubles the wait. A watch whose answer is lost
+is found out only once its wait is over, so the wait is short after a failure, and shorter while answers get
+lost.
+"""
+
+from __future__ import annotations
+
+from corkdoor.model import WatchEventKind
+
+FIRST_MS = 4_000
+MAX_MS = 30_000
+LOSSY_MS = 1_000  # of each first watch while answers get lost
+LOSSY_PERIOD_US = 60_000_000  # after a lost answer
+MIN_SHARE = 0.75  # of the wait, that is kept whatever the jitter
+
+
+class WatchTimeout:
+    """The wait of the next watch."""
+
+    def __init__(self) -> None:
+        self._wait_ms = FIRST_MS
+        self._lossy_until_us: int | None = None
+
+    def draw_ms(self, jitter: float) -> int:
+        """Return the wait of the next watch, in milliseconds.
+
+        Guards against instances that began in step: their watches would end in step for good.
+
+        Args:
+            jitter: drawn from 0 to 1.
+        """
+        return int(self._wait_ms * (MIN_SHARE + (1 - MIN_SHARE) * jitter))
+
+    def on_answer(self) -> None:
+        """Lengthen the wait after an answer."""
+        self._wait_ms = max(FIRST_MS, min(2 * self._wait_ms, MAX_MS))
+
+    def on_failure(self, now_us: int, kind: WatchEventKind) -> None:
+        """Shorten the wait after a failed call."""
+        if kind is WatchEventKind.LOST:
+            self._lossy_until_us = now_us + LOSSY_PERIOD_US
+        self.on_interruption(now_us)
+
+    def on_interruption(self, now_us: int) -> None:
+        """Shorten the wait where the next watch does not continue the last: changes may have been missed."""
+        lossy = self._lossy_until_us is not None and now_us < self._lossy_until_us
+        self._wait_ms = LOSSY_MS if lossy else FIRST_MS
--- a/corkdoor/sidecar/discovery.py
+++ b/corkdoor/sidecar/discovery.py
@@ -10,7 +10,7 @@
 from typing import Any, NamedTuple
 
 from corkdoor.model import DiscoveryMode, Endpoint, Readiness, WatchEventKind
-from corkdoor.policy.watch_timeout import WatchWaits
+from corkdoor.policy.discovery.watch_timeout import WatchTimeout
 from corkdoor.settings import Settings
 from corkdoor.sidecar.bounds import Budget
 from corkdoor.sidecar.clock import UNIX_OFFSET_US, now_us
@@ -112,7 +112,7 @@
         self.deliver = deliver
         self.moved = False  # the address is new and has told nothing yet
         self.lost = False  # the last answer was lost
-        self.waits = WatchWaits()
+        self.watch_timeout = WatchTimeout()
         self._asked_us = 0  # when the last call began
         self._task: asyncio.Task[None] | None = None
         self._connection: Connection | None = None
@@ -125,7 +125,7 @@
             self._task.cancel()
             self._task = None
             self._hang_up()  # its answer would come in for the next watch
-            self.waits.interrupted(now_us())
+            self.watch_timeout.on_interruption(now_us())
 
     def move(self, host: str, port: int) -> None:
         """Watch at another address once turned on; the last list stays until that has told all of its own.
@@ -145,7 +145,7 @@
                 await self._fail(error)
                 return
             self.lost = False
-            self.waits.answered()
+            self.watch_timeout.on_answer()
             whole = listing.whole or self.moved
             self.generation, self.moved = listing.generation, False
             self.deliver(WatchEventKind.FULL if whole else WatchEventKind.DELTA, listing.entries)
@@ -158,7 +158,7 @@
         form = WatchEventKind.REJECTED if isinstance(error, Refused) else WatchEventKind.FAILED
         if isinstance(error, BrokenOff | Unreadable):
             self.lost, form = True, WatchEventKind.LOST
-        self.waits.failed(now_us(), form)
+        self.watch_timeout.on_failure(now_us(), form)
         if isinstance(error, Unreadable):
             await asyncio.sleep(NEW_WATCH_S * random.uniform(1.0, 1.4))
         self._task = None
@@ -175,7 +175,7 @@
         self._answer = loop.create_future()
         path, patience_s = "/discovery/hosts", PATIENCE_S
         if not self.moved:
-            wait_ms = self.waits.draw(random.random())
+            wait_ms = self.watch_timeout.draw_ms(random.random())
             path = f"{path}?after={self.generation}&wait_ms={wait_ms}"
             patience_s = wait_ms / 1000 + WATCH_PATIENCE_S
         self._connection.send(f"GET {path} HTTP/1.1\r\nHost: {self.host}:{self.port}\r\n\r\n".encode())
--- a/corkdoor/sidecar/proxy.py
+++ b/corkdoor/sidecar/proxy.py
@@ -122,7 +122,7 @@
         up = self.upstream
         lines = [self.version(), f"open requests {len(self.requests)}, connections {up.open} of {up.most}"]
         lines.append(
-            f"{self._list_state()}, longest {self.balancer.discovery.freshness.longest_us / 1e6:.1f} s"
+            f"{self._list_state()}, longest {self.balancer.discovery.freshness.longest_age_us / 1e6:.1f} s"
         )
         for tally in (self.list_calls, self.tally, up.tally):
             lines.append(", ".join(f"{name} {count}" for name, count in sorted(tally.items())) or "-")
@@ -374,7 +374,7 @@
         if pool is None or form is WatchEventKind.CACHED:
             return
         since_us = self.balancer.discovery.freshness.breach_possible_since_us()
-        if pool.written_us > since_us:
+        if since_us is not None and pool.written_us > since_us:
             late_s = (pool.written_us - since_us) / 1e6
             detail = (
                 f"{pool.written} to {endpoint}, {late_s:.2f} s late if its change ({why}) was missed first"
@@ -387,5 +387,6 @@
         watcher, freshness = self.watcher, self.balancer.discovery.freshness
         return (
             f"list {watcher.generation} of {watcher.host}:{watcher.port}, untold for"
-            f" {freshness.age_us(now_us()) / 1e6:.2f} s, {freshness.failures} calls failed in a row"
+            f" {freshness.age_us(now_us()) / 1e6:.2f} s,"
+            f" {freshness.consecutive_failures} calls failed in a row"
         )
--- a/emulator/crowded_discovery.py
+++ b/emulator/crowded_discovery.py
@@ -22,7 +22,7 @@
 from corkdoor.interface import Actions
 from corkdoor.model import DiscoveryMode, Endpoint, Readiness, Timer, WatchEventKind
 from corkdoor.model import Idempotency as RepeatEffect
-from corkdoor.policy.watch_timeout import WatchWaits
+from corkdoor.policy.discovery.watch_timeout import WatchTimeout
 from corkdoor.settings import LifecycleRules, Limits, RequestClass, Settings
 from corkdoor.sidecar.discovery import PATIENCE_S, WATCH_PATIENCE_S
 
@@ -176,7 +176,7 @@
         self.moved = False
         self.lost_waits: list[tuple[int, int]] = []  # of watches whose answer was lost: begin and end
         self._carried_on = False  # the next call follows an answer
-        self._waits = WatchWaits()
+        self._watch_timeout = WatchTimeout()
         self._serial = 0
         self._watching = False
         seed = fleet.scenario.seed * 10_000 + number
@@ -202,7 +202,7 @@
             self._ask()
         elif not enabled and self._watching:
             self._carried_on = self._watching = False
-            self._waits.interrupted(self.fleet.events.now)
+            self._watch_timeout.on_interruption(self.fleet.events.now)
             self._hang_up()
 
     def start_timer(self, delay_us: int, timer: Timer) -> None:
@@ -222,7 +222,7 @@
     def _ask(self) -> None:
         events = self.fleet.events
         self._serial += 1
-        wait_us = self._waits.draw(self.fleet.random.random()) * MS
+        wait_us = self._watch_timeout.draw_ms(self.fleet.random.random()) * MS
         patience_us = int(PATIENCE_S * S) if self.moved else wait_us + int(WATCH_PATIENCE_S * S)
         after = -1 if self.moved else self.generation
         call = Call(self.number, self._serial, after, wait_us, events.now, self._carried_on)
@@ -237,7 +237,7 @@
         now = self.fleet.events.now
         form = WatchEventKind.FULL if self.moved else WatchEventKind.DELTA
         self.moved, self.generation = False, generation
-        self._waits.answered()
+        self._watch_timeout.on_answer()
         self._carried_on = True
         self.told.append((now, generation))
         self.balancer.on_watch_event(now, form, [ENTRY] if call.after < generation else [])
@@ -256,7 +256,7 @@
 
     def _fail(self, form: WatchEventKind) -> None:
         self._serial += 1
-        self._waits.failed(self.fleet.events.now, form)
+        self._watch_timeout.on_failure(self.fleet.events.now, form)
         self._carried_on = self._watching = False
         self.balancer.on_watch_event(self.fleet.events.now, form, [])
 
--- a/tests/test_crowded_discovery.py
+++ b/tests/test_crowded_discovery.py
@@ -13,20 +13,21 @@
 from corkdoor.balancer import Balancer
 from corkdoor.interface import Actions
 from corkdoor.model import DiscoveryMode, Timer, WatchEventKind
-from corkdoor.policy.discovery_backoff import (
-    MOVE_SETTLES_US,
+from corkdoor.policy.discovery.address_debounce import SETTLE_US
+from corkdoor.policy.discovery.fair_turns import (
+    MAX_MEAN_WAIT_US,
+    MAX_TURN_US,
+    MIN_TURN_US,
     REST_US,
-    TURN_MOST_US,
-    TURN_WAITS_US,
     YIELD_SLACK_US,
 )
-from corkdoor.policy.watch_timeout import (
+from corkdoor.policy.discovery.watch_timeout import (
     FIRST_MS,
-    LEAST_SHARE,
-    LONGEST_MS,
     LOSSY_MS,
-    LOSSY_US,
-    WatchWaits,
+    LOSSY_PERIOD_US,
+    MAX_MS,
+    MIN_SHARE,
+    WatchTimeout,
 )
 from corkdoor.settings import LifecycleRules
 from emulator.crowded_discovery import Fleet, Scenario
@@ -170,23 +171,23 @@
 
 
 def test_waits_of_watches_grow_and_are_short_after_failures() -> None:
-    waits = WatchWaits()
+    waits = WatchTimeout()
     grown = []
     for _ in range(5):
-        grown.append(waits.draw(1.0))
-        waits.answered()
-    assert grown == [FIRST_MS, 2 * FIRST_MS, 4 * FIRST_MS, LONGEST_MS, LONGEST_MS]
-    waits.failed(1 * S, WatchEventKind.REJECTED)
-    assert waits.draw(1.0) == FIRST_MS
-    waits.failed(2 * S, WatchEventKind.LOST)
-    assert waits.draw(1.0) == LOSSY_MS
-    waits.answered()
-    assert waits.draw(1.0) == FIRST_MS
-    waits.interrupted(2 * S + LOSSY_US - 1)
-    assert waits.draw(1.0) == LOSSY_MS
-    waits.failed(2 * S + LOSSY_US, WatchEventKind.FAILED)
-    assert waits.draw(1.0) == FIRST_MS
-    assert waits.draw(0.0) == LEAST_SHARE * FIRST_MS
+        grown.append(waits.draw_ms(1.0))
+        waits.on_answer()
+    assert grown == [FIRST_MS, 2 * FIRST_MS, 4 * FIRST_MS, MAX_MS, MAX_MS]
+    waits.on_failure(1 * S, WatchEventKind.REJECTED)
+    assert waits.draw_ms(1.0) == FIRST_MS
+    waits.on_failure(2 * S, WatchEventKind.LOST)
+    assert waits.draw_ms(1.0) == LOSSY_MS
+    waits.on_answer()
+    assert waits.draw_ms(1.0) == FIRST_MS
+    waits.on_interruption(2 * S + LOSSY_PERIOD_US - 1)
+    assert waits.draw_ms(1.0) == LOSSY_MS
+    waits.on_failure(2 * S + LOSSY_PERIOD_US, WatchEventKind.FAILED)
+    assert waits.draw_ms(1.0) == FIRST_MS
+    assert waits.draw_ms(0.0) == MIN_SHARE * FIRST_MS
 
 
 def turned_away(host: Host) -> int:
@@ -228,30 +229,28 @@
     host.did.clear()
     host.balancer.on_watch_event(host.now, WatchEventKind.DELTA, [])
     assert host.did == []  # the watch goes on
-    assert turned_away(host) <= 1.5 * TURN_WAITS_US[1]
+    assert turned_away(host) <= 1.5 * MAX_TURN_US
 
 
 def test_the_oldest_ask_about_once_in_the_time_that_a_turn_takes() -> None:
     """Asking every 0.12 s kept discovery from all else: 50 calls a second were turned away."""
-    least, most = TURN_WAITS_US
     for took_us in (10 * MS, 400 * MS, 5 * S):
         host = asking_host()
-        turn_us = max(least, min(took_us, most))
+        turn_us = max(MIN_TURN_US, min(took_us, MAX_TURN_US))
         host.advance(turned_away(host))
         host.now += took_us
         host.balancer.on_watch_event(host.now, WatchEventKind.FULL, endpoints(2))
         host.now += int(TOLD_S * S)
         waits = []
         for _ in range(30):
-            host.balancer.discovery.ask_at = -1
-            host.balancer.discovery.renewal.began = host.now
-            host.balancer.discovery.renewal.refusals = 0
+            host.balancer.discovery.poll(host.now)
+            host.balancer.discovery.turns.rejections = 0
             waits.append(turned_away(host))
         assert 0.5 * turn_us <= min(waits) and max(waits) <= 1.7 * turn_us
         assert max(waits) - min(waits) > 0.5 * turn_us  # drawn, or they would come in step
-        host.balancer.discovery.ask_at = -1
-        host.balancer.discovery.renewal.refusals = 1000  # more is asked than can be answered
-        assert 0.5 * TURN_MOST_US <= turned_away(host) <= 1.5 * TURN_MOST_US
+        host.balancer.discovery.poll(host.now)
+        host.balancer.discovery.turns.rejections = 1000  # more is asked than can be answered
+        assert 0.5 * MAX_MEAN_WAIT_US <= turned_away(host) <= 1.5 * MAX_MEAN_WAIT_US
 
 
 def test_of_moves_in_a_row_only_the_last_is_asked() -> None:
@@ -261,11 +260,11 @@
     host.balancer.on_discovery_moved(host.now)
     assert host.did == [("watch_discovery", True)]
     for _ in range(3):
-        host.now += MOVE_SETTLES_US - 1
+        host.now += SETTLE_US - 1
         host.balancer.on_discovery_moved(host.now)
     assert host.did == [("watch_discovery", True)]
-    host.advance(MOVE_SETTLES_US)
+    host.advance(SETTLE_US)
     assert host.did == [("watch_discovery", True)] * 2
-    host.now += MOVE_SETTLES_US
+    host.now += SETTLE_US
     host.balancer.on_discovery_moved(host.now)
     assert host.did == [("watch_discovery", True)] * 3
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -21,5 +21,5 @@
 
 
 def test_each_module_that_decides_is_listed() -> None:
-    found = {str(path.relative_to(ROOT)) for path in (ROOT / "corkdoor" / "policy").glob("*.py")}
+    found = {str(path.relative_to(ROOT)) for path in (ROOT / "corkdoor" / "policy").rglob("*.py")}
     assert {name for name in POLICY if "policy/" in name} == found
--- a/tests/test_list_freshness.py
+++ b/tests/test_list_freshness.py
@@ -7,8 +7,12 @@
 import pytest
 
 from corkdoor.model import DiscoveryMode, WatchEventKind
-from corkdoor.policy import list_freshness
-from corkdoor.policy.list_freshness import MOVED_AFTER_US, NEVER_US, TOLD_AFTER_US, ListFreshness
+from corkdoor.policy.discovery import list_freshness
+from corkdoor.policy.discovery.list_freshness import (
+    NOTIFIED_AFTER_ADDRESS_CHANGE_US,
+    NOTIFIED_AFTER_US,
+    ListFreshness,
+)
 from corkdoor.settings import LifecycleRules
 from corkdoor.sidecar.invariants import Invariant
 from tests.sidecar_support import Sidecar, listing, row, run
@@ -26,47 +30,48 @@
 
 def test_nothing_is_missed_while_a_watch_is_open() -> None:
     fresh = freshness()
-    fresh.told(NOW + 1 * S, bare=False)
+    fresh.on_answer(NOW + 1 * S, empty=False)
     assert fresh.age_us(NOW + 60 * S) == 0
-    assert fresh.breach_possible_since_us() == NEVER_US
-    assert fresh.longest_us == 1 * S
+    assert fresh.breach_possible_since_us() is None
+    assert fresh.longest_age_us == 1 * S
 
 
 def test_after_an_answer_whose_next_call_is_refused_changes_may_be_missed_from_then_on() -> None:
     fresh = freshness()
-    fresh.told(NOW, bare=False)
+    fresh.on_answer(NOW, empty=False)
     for at in range(1, 4):
-        fresh.failed(NOW + at * S, WatchEventKind.REJECTED, 30 * MS)
+        fresh.on_failure(NOW + at * S, WatchEventKind.REJECTED, 30 * MS)
     assert fresh.age_us(NOW + 5 * S) == 5 * S
-    assert fresh.failures == 3
-    assert fresh.counts_as_told_us() == NOW + TOLD_AFTER_US
-    assert fresh.breach_possible_since_us() == NOW + TOLD_AFTER_US + GRACE_US
+    assert fresh.consecutive_failures == 3
+    assert fresh.counts_as_notified_us() == NOW + NOTIFIED_AFTER_US
+    assert fresh.breach_possible_since_us() == NOW + NOTIFIED_AFTER_US + GRACE_US
 
 
 def test_moves_and_outages_count_as_told_later_and_answers_are_wanted_sooner() -> None:
     fresh = freshness()
-    fresh.told(NOW, bare=False)
-    fresh.moved(NOW + 1 * S)
-    assert fresh.turn_due_us() == NOW + 1 * S + MOVED_AFTER_US
-    assert fresh.counts_as_told_us() == NOW + 1 * S + TOLD_AFTER_US  # the watch told all up to the move
-    fresh.moved(NOW + 4 * S)
-    assert fresh.counts_as_told_us() == NOW + 4 * S + MOVED_AFTER_US
-    fresh.failed(NOW + 9 * S, WatchEventKind.FAILED, 5 * MS)
-    assert fresh.counts_as_told_us() == NOW + 9 * S + TOLD_AFTER_US
+    fresh.on_answer(NOW, empty=False)
+    fresh.on_address_changed(NOW + 1 * S)
+    assert fresh.answer_due_us() == NOW + 1 * S + NOTIFIED_AFTER_ADDRESS_CHANGE_US
+    # The watch brought all changes up to the change of the address.
+    assert fresh.counts_as_notified_us() == NOW + 1 * S + NOTIFIED_AFTER_US
+    fresh.on_address_changed(NOW + 4 * S)
+    assert fresh.counts_as_notified_us() == NOW + 4 * S + NOTIFIED_AFTER_ADDRESS_CHANGE_US
+    fresh.on_failure(NOW + 9 * S, WatchEventKind.FAILED, 5 * MS)
+    assert fresh.counts_as_notified_us() == NOW + 9 * S + NOTIFIED_AFTER_US
 
 
 def test_a_watch_that_is_reset_told_all_until_then() -> None:
     fresh = freshness()
-    fresh.told(NOW, bare=False)
-    fresh.failed(NOW + 8 * S, WatchEventKind.FAILED, 8 * S)
+    fresh.on_answer(NOW, empty=False)
+    fresh.on_failure(NOW + 8 * S, WatchEventKind.FAILED, 8 * S)
     assert fresh.age_us(NOW + 9 * S) == 1 * S
 
 
 def test_pushed_lists_count_as_told_at_once() -> None:
     fresh = freshness(DiscoveryMode.PUSH)
-    fresh.told(NOW, bare=False)
-    fresh.failed(NOW + 1 * S, WatchEventKind.LOST, 1 * S)
-    assert fresh.counts_as_told_us() == NOW
+    fresh.on_answer(NOW, empty=False)
+    fresh.on_failure(NOW + 1 * S, WatchEventKind.LOST, 1 * S)
+    assert fresh.counts_as_notified_us() == NOW
 
 
 @pytest.mark.parametrize("late", [True, False])
@@ -75,7 +80,7 @@
 ) -> None:
     """Only the list that comes late shows that a send may have broken the rule."""
     if late:
-        monkeypatch.setattr(list_freshness, "TOLD_AFTER_US", 0)
+        monkeypatch.setattr(list_freshness, "NOTIFIED_AFTER_US", 0)
 
     async def test() -> None:
         async with Sidecar(Rules={"DrainGraceUs": 0, "AskEveryUs": 10_000_000}) as sidecar:
--- a/tests/test_live_settings.py
+++ b/tests/test_live_settings.py
@@ -13,6 +13,7 @@
 
 import pytest
 
+from corkdoor.policy.discovery.poll_state import PollState
 from corkdoor.settings_reader import read_settings
 from corkdoor.sidecar import server
 from corkdoor.sidecar.bounds import Bounds
@@ -278,7 +279,7 @@
                 sidecar.proxy, "start_timer", lambda delay_us, timer: None
             )  # it never falls due
             (await sidecar.discovery.next()).reply(503, b"")
-            while sidecar.proxy.balancer.discovery.ask_at < 0:
+            while sidecar.proxy.balancer.discovery.state is PollState.CALLING:
                 await asyncio.sleep(0.001)
             reload(sidecar, Discovery="push")
             await sidecar.discovery.next()
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from corkdoor.policy.watch_timeout import FIRST_MS, LONGEST_MS
+from corkdoor.policy.discovery.watch_timeout import FIRST_MS, MAX_MS
 from corkdoor.sidecar.config import Address
 from tests.sidecar_support import Fake, Sidecar, listing, program, row, run
 
@@ -50,7 +50,7 @@
         async with Sidecar() as sidecar:
             other = await Fake().start()
             host, _, port = other.address.rpartition(":")
-            sidecar.proxy.balancer.discovery.renewal.slowest = 60_000_000  # as after a long outage
+            sidecar.proxy.balancer.discovery.backoff.interval_us = 60_000_000  # as after a long outage
             sidecar.proxy.reload(replace(sidecar.config, discovery=Address(host, int(port))))
             begun = time.monotonic()
             for _ in range(2):
@@ -96,7 +96,7 @@
                 waits.append(int(asked.message.first.partition("wait_ms=")[2].partition(" ")[0]))
                 asked.reply(200, listing(generation, False))
             assert FIRST_MS * 0.75 <= waits[0] <= FIRST_MS
-            assert waits[0] < waits[-1] <= LONGEST_MS
+            assert waits[0] < waits[-1] <= MAX_MS
             (await sidecar.discovery.next()).reply(503, b"")
             asked = await sidecar.discovery.next()
             assert int(asked.message.first.partition("wait_ms=")[2].partition(" ")[0]) <= FIRST_MS
--- a/tests/test_watching.py
+++ b/tests/test_watching.py
@@ -14,17 +14,14 @@
 from hypothesis import strategies as st
 
 from corkdoor.model import DiscoveryMode, WatchEventKind
-from corkdoor.policy import watch_timeout
-from corkdoor.policy.discovery_backoff import (
-    ASK_AT_ONCE,
-    ASK_CROWDED_US,
-    ASK_FIRST_US,
-    ASK_LEAST_US,
-    ASK_LONGEST_US,
-    ASK_MOVED_US,
-    ASK_REFUSED_US,
-    TURN_FIRST_US,
-    TURN_MOST_US,
+from corkdoor.policy.discovery import watch_timeout
+from corkdoor.policy.discovery.failure_backoff import MAX_INTERVAL_NEW_ADDRESS_US, MIN_WAIT_US
+from corkdoor.policy.discovery.fair_turns import FIRST_TURN_US, MAX_MEAN_WAIT_US
+from corkdoor.policy.discovery.immediate_retry import MAX_IMMEDIATE_RETRIES, REJECTED_WAIT_US
+from corkdoor.policy.discovery.poll_limits import (
+    FIRST_INTERVAL_US,
+    MAX_INTERVAL_REJECTED_US,
+    MAX_INTERVAL_US,
 )
 from corkdoor.settings import LifecycleRules
 from corkdoor.sidecar import discovery
@@ -40,12 +37,12 @@
 ) -> None:
     monkeypatch.setattr(watch_timeout, "FIRST_MS", 100)
     monkeypatch.setattr(watch_timeout, "LOSSY_MS", 100)
-    monkeypatch.setattr(watch_timeout, "LONGEST_MS", 100)
+    monkeypatch.setattr(watch_timeout, "MAX_MS", 100)
     monkeypatch.setattr(discovery, "WATCH_PATIENCE_S", 0.1)
 
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
-            sidecar.proxy.balancer.discovery.renewal.slowest = 60_000_000  # as after a long outage
+            sidecar.proxy.balancer.discovery.backoff.interval_us = 60_000_000  # as after a long outage
             spoilt = {
                 "silent": b"",
                 "garbled": b"\x00\x01 noise\r\n\r\n",
@@ -57,7 +54,7 @@
             (await sidecar.discovery.next()).writer.write(spoilt)  # and once more
             left = listing(2, False, row("s-1", sidecar.endpoints[1].address, "draining"))
             (await sidecar.discovery.next()).reply(200, left)
-            assert time.monotonic() - begun < ASK_LONGEST_US / 2e6  # the shortest wait by the schedule
+            assert time.monotonic() - begun < MAX_INTERVAL_US / 2e6  # the shortest wait by the schedule
             await sidecar.discovery.next()
             assert list(sidecar.proxy.upstream.pools) == ["s-0"]
 
@@ -68,7 +65,7 @@
     """After a watch fell silent 1 s is left, and connecting alone was waited for for 2 s."""
     monkeypatch.setattr(watch_timeout, "FIRST_MS", 100)
     monkeypatch.setattr(watch_timeout, "LOSSY_MS", 100)
-    monkeypatch.setattr(watch_timeout, "LONGEST_MS", 100)
+    monkeypatch.setattr(watch_timeout, "MAX_MS", 100)
     monkeypatch.setattr(discovery, "WATCH_PATIENCE_S", 0.1)
 
     async def test() -> None:
@@ -84,7 +81,7 @@
 
         monkeypatch.setattr(discovery, "connect", hanging)
         async with Sidecar() as sidecar:
-            sidecar.proxy.balancer.discovery.renewal.slowest = 60_000_000  # as after a long outage
+            sidecar.proxy.balancer.discovery.backoff.interval_us = 60_000_000  # as after a long outage
             await sidecar.discovery.next()  # silent
             begun = time.monotonic()
             (await sidecar.discovery.next()).reply(200, listing(2, False))
@@ -203,7 +200,7 @@
         host.balancer.on_watch_event(host.now, WatchEventKind.REJECTED, [])
         ((due, _),) = host.timers
         host.advance(due - host.now)
-    assert ASK_CROWDED_US * 0.75 <= due - asked <= ASK_CROWDED_US
+    assert MAX_INTERVAL_REJECTED_US * 0.75 <= due - asked <= MAX_INTERVAL_REJECTED_US
     host.balancer.on_watch_event(host.now, WatchEventKind.DELTA, [])
     told = host.now
     waits = []
@@ -212,9 +209,9 @@
         ((due, _),) = host.timers
         waits.append(due - host.now)
         host.advance(due - host.now)
-    assert min(waits) >= TURN_FIRST_US * 0.5
-    assert max(waits) <= TURN_MOST_US * 1.5
-    assert max(waits[:3]) <= TURN_FIRST_US * 1.8
+    assert min(waits) >= FIRST_TURN_US * 0.5
+    assert max(waits) <= MAX_MEAN_WAIT_US * 1.5
+    assert max(waits[:3]) <= FIRST_TURN_US * 1.8
 
 
 @given(
@@ -243,7 +240,11 @@
     host = Host(settings(discovery_mode=form, lifecycle=rules), seed=seed)
     if moved:
         host.balancer.on_discovery_moved(host.now)
-    bound = max(ASK_FIRST_US, 3 * poll_interval_us) if form is DiscoveryMode.POLL else ASK_CROWDED_US
+    bound = (
+        max(FIRST_INTERVAL_US, 3 * poll_interval_us)
+        if form is DiscoveryMode.POLL
+        else MAX_INTERVAL_REJECTED_US
+    )
     host.did.clear()
     at_once = 0
     for number, (failure, spent) in enumerate(calls):
@@ -253,15 +254,15 @@
         host.balancer.on_watch_event(host.now, failure, [])  # told twice, as by a wire that repeats itself
         ((due, _),) = host.timers
         wait = due - host.now
-        longest = ASK_MOVED_US if moved else ASK_LONGEST_US
+        longest = MAX_INTERVAL_NEW_ADDRESS_US if moved else MAX_INTERVAL_US
         if failure is WatchEventKind.REJECTED:
-            longest = ASK_CROWDED_US // 2 if moved else ASK_CROWDED_US
+            longest = MAX_INTERVAL_REJECTED_US // 2 if moved else MAX_INTERVAL_REJECTED_US
         longest = min(longest, bound)
-        pause = 1.4 * ASK_REFUSED_US if failure is WatchEventKind.REJECTED else ASK_LEAST_US
+        pause = 1.4 * REJECTED_WAIT_US if failure is WatchEventKind.REJECTED else MIN_WAIT_US
         if number or moved:
             assert due - begun <= max(longest, spent + pause)
-        at_once = at_once + 1 if wait < ASK_LEAST_US / 2 else 0
-        assert at_once <= ASK_AT_ONCE  # never a loop without a pause
+        at_once = at_once + 1 if wait < MIN_WAIT_US / 2 else 0
+        assert at_once <= MAX_IMMEDIATE_RETRIES  # never a loop without a pause
         host.advance(wait)
         assert host.did.pop() == ("watch_discovery", True)
         assert not host.did and not host.timers
