--- a/corkdoor/sidecar/config.py
+++ b/corkdoor/sidecar/config.py
@@ -12,7 +12,7 @@
 from corkdoor.settings import Settings
 from corkdoor.settings_reader import read_settings
 from corkdoor.sidecar.bounds import Bounds
-from corkdoor.sidecar.discovery import EndpointList, read_endpoint_list
+from corkdoor.sidecar.discovery.endpoint_list import EndpointList, read_endpoint_list
 
 SOCKETS, MEMORY_MB = 1024, 192  # where the configuration states no limit
 
--- /dev/null
+++ b/corkdoor/sidecar/discovery/client.py
@@ -0,0 +1,136 @@
+"""Single calls to discovery: a poll, or a long poll that discovery answers once something has changed."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+from dataclasses import dataclass
+
+from corkdoor.sidecar.bounds import Budget
+from corkdoor.sidecar.clock import now_us
+from corkdoor.sidecar.discovery.endpoint_list import EndpointList, read_endpoint_list
+from corkdoor.sidecar.discovery.errors import (
+    AnswerStalledError,
+    AnswerTimeoutError,
+    AnswerTruncatedError,
+    AnswerUnreadableError,
+    CallRejectedError,
+    ConnectionClosedError,
+)
+from corkdoor.sidecar.stream import connect
+from corkdoor.sidecar.upstream import Connection, Response
+
+MAX_LIST_BYTES = 2 << 20  # an endpoint takes some 200
+POLL_TIMEOUT_S = 2.0
+WATCH_GRACE_S = 1.0  # a watch may be late by so much: 1 s later its changes count as notified
+STALL_S = 0.3  # an answer is written in one go, so one that stops for so long is not continued
+STATUS_OK = 200
+LIST_PATH = "/discovery/hosts"
+
+
+@dataclass(frozen=True, slots=True)
+class PollRequest:
+    """A request for the complete list, answered at once."""
+
+    @property
+    def target(self) -> str:
+        """The path and query."""
+        return LIST_PATH
+
+    @property
+    def timeout_s(self) -> float:
+        """How long an answer is waited for, in seconds."""
+        return POLL_TIMEOUT_S
+
+
+@dataclass(frozen=True, slots=True)
+class WatchRequest:
+    """A request for the changes after a version of the list, answered once there are any.
+
+    Attributes:
+        generation: the version that is known.
+        wait_ms: after so long discovery answers anyway, in milliseconds.
+    """
+
+    generation: int
+    wait_ms: int
+
+    @property
+    def target(self) -> str:
+        """The path and query."""
+        return f"{LIST_PATH}?after={self.generation}&wait_ms={self.wait_ms}"
+
+    @property
+    def timeout_s(self) -> float:
+        """How long an answer is waited for, in seconds."""
+        return self.wait_ms / 1000 + WATCH_GRACE_S
+
+
+class DiscoveryClient:
+    """Calls discovery at one address, one call at a time, on a connection that is kept between calls."""
+
+    def __init__(self, host: str, port: int) -> None:
+        self.host = host
+        self.port = port
+        self._connection: Connection | None = None
+        self._answer: asyncio.Future[Response] | None = None
+
+    async def connect(self, timeout_s: float) -> Connection:
+        """Return the open connection, or open one.
+
+        Raises:
+            OSError: it could not be opened; TimeoutError: not within `timeout_s` seconds.
+        """
+        if self._connection is None or self._connection.lost:
+            opened = Connection(self, Budget(MAX_LIST_BYTES), MAX_LIST_BYTES)
+            async with asyncio.timeout(timeout_s):
+                await connect(opened, self.host, self.port)
+            self._connection = opened
+        return self._connection
+
+    async def fetch(self, connection: Connection, request: PollRequest | WatchRequest) -> EndpointList:
+        """Send a request on the open connection and return the endpoint list that answers it.
+
+        Raises:
+            DiscoveryError: the call failed; its class says how.
+            OverflowError: the list holds a number that is too large.
+        """
+        self._answer = asyncio.get_running_loop().create_future()
+        head = f"GET {request.target} HTTP/1.1\r\nHost: {self.host}:{self.port}\r\n\r\n"
+        connection.send(head.encode())
+        try:
+            async with asyncio.timeout(request.timeout_s):
+                response = await self._complete_answer(self._answer, connection)
+        except TimeoutError:
+            raise AnswerTimeoutError(request.timeout_s) from None
+        if response.status != STATUS_OK:
+            raise CallRejectedError(response.status)
+        try:
+            return read_endpoint_list(json.loads(response.body))
+        except (ValueError, RecursionError) as error:
+            raise AnswerUnreadableError(str(error)) from None
+
+    async def _complete_answer(self, answer: asyncio.Future[Response], connection: Connection) -> Response:
+        """Wait for the answer; it may be long in coming, but may not stop once it has begun."""
+        while not (await asyncio.wait((answer,), timeout=STALL_S))[0]:
+            if 0 < connection.heard_us < now_us() - STALL_S * 1e6:
+                raise AnswerStalledError(STALL_S)
+        return answer.result()
+
+    def close(self) -> None:
+        """Close the connection: an answer that is still to come reaches nobody."""
+        if self._connection is not None:
+            self._connection.close()
+            self._connection = None
+
+    def on_response(self, connection: Connection, response: Response, reusable: bool) -> None:
+        """Take the answer that a connection brought."""
+        del connection, reusable  # only one is open, and it says itself whether it is lost
+        if self._answer is not None and not self._answer.done():
+            self._answer.set_result(response)
+
+    def on_lost(self, connection: Connection) -> None:
+        """Fail the call whose connection ended."""
+        if self._answer is not None and not self._answer.done():
+            answer_began = connection.cut or connection.heard_us > 0
+            self._answer.set_exception(AnswerTruncatedError() if answer_began else ConnectionClosedError())
--- /dev/null
+++ b/corkdoor/sidecar/discovery/endpoint_list.py
@@ -0,0 +1,87 @@
+"""Reads the endpoint lists of discovery; only here are the keys of their JSON documents named."""
+
+from __future__ import annotations
+
+from typing import Any, NamedTuple
+
+from corkdoor.model import Endpoint, Readiness
+from corkdoor.sidecar.clock import UNIX_OFFSET_US
+from corkdoor.sidecar.discovery.errors import EndpointListError
+
+DEFAULT_WEIGHT = 1.0
+MAX_PORT = (1 << 16) - 1
+
+
+class ResolvedEndpoint(NamedTuple):
+    """One entry of a list.
+
+    Attributes:
+        endpoint: the endpoint as the balancer knows it.
+        host: the host on which it listens.
+        port: the port on which it listens.
+    """
+
+    endpoint: Endpoint
+    host: str
+    port: int
+
+
+class EndpointList(NamedTuple):
+    """One answer of discovery.
+
+    Attributes:
+        generation: the list's version.
+        complete: whether it holds all endpoints, or those that have changed.
+        entries: the endpoints.
+    """
+
+    generation: int
+    complete: bool
+    entries: list[ResolvedEndpoint]
+
+
+def read_endpoint_list(document: Any) -> EndpointList:
+    """Read a list from a JSON document; None stands for an empty one.
+
+    Raises:
+        EndpointListError: the document is no endpoint list.
+        OverflowError: it holds a number that is too large.
+    """
+    if document is None:
+        return EndpointList(generation=0, complete=True, entries=[])
+    try:
+        entries = [_read_entry(row) for row in document["instances"]]
+        return EndpointList(int(document["generation"]), bool(document["reset"]), entries)
+    except (KeyError, TypeError, ValueError, AttributeError) as error:
+        raise EndpointListError(f"{type(error).__name__}: {error}") from None
+
+
+def _read_entry(row: Any) -> ResolvedEndpoint:
+    host, port = _read_address(row["hostPort"])
+    weight = float(row.get("weight") or DEFAULT_WEIGHT)
+    endpoint = Endpoint(
+        id=str(row["instanceId"]),
+        zone=str(row.get("zone") or ""),
+        machine_type=str(row.get("machineType") or ""),
+        cell=int(row["cell"]) if row.get("cell") is not None else -1,
+        readiness=Readiness(row["lifecycle"]),
+        weight=weight if weight > 0 else DEFAULT_WEIGHT,
+        started_us=_read_start_us(row.get("startedAtMs")),
+    )
+    return ResolvedEndpoint(endpoint, host, port)
+
+
+def _read_address(text: Any) -> tuple[str, int]:
+    host, _, port = text.rpartition(":")
+    # Guards against attempts that end in an error which is no socket's.
+    if not host or not 0 < int(port) <= MAX_PORT:
+        raise ValueError("hostPort")
+    return host, int(port)
+
+
+def _read_start_us(started_ms: Any) -> int:
+    """Convert a Unix time to the monotonic clock, on which a start may lie before 0; 0: long ago."""
+    milliseconds = int(started_ms or 0)
+    if not milliseconds:
+        return 0
+    return milliseconds * 1000 - UNIX_OFFSET_US or 1
--- a/corkdoor/sidecar/proxy.py
+++ b/corkdoor/sidecar/proxy.py
@@ -17,10 +17,12 @@
 from corkdoor.balancer import Balancer
 from corkdoor.log_events import LogEvent
 from corkdoor.model import DiscoveryMode, Outcome, Readiness, Timer, WatchEventKind
+from corkdoor.policy.discovery.connect_timeout import connect_timeout_s
 from corkdoor.sidecar.bounds import Budget
 from corkdoor.sidecar.clock import Alarm, now_us
 from corkdoor.sidecar.config import Config, ConfigError
-from corkdoor.sidecar.discovery import DiscoveryWatcher, ResolvedEndpoint, connect_limit_s
+from corkdoor.sidecar.discovery.endpoint_list import ResolvedEndpoint
+from corkdoor.sidecar.discovery.watcher import DiscoveryWatcher
 from corkdoor.sidecar.invariants import Invariant, InvariantLog, Location, Sent, may_repeat
 from corkdoor.sidecar.proxied_request import ProxiedRequest
 from corkdoor.sidecar.upstream import Attempt, Response, Upstream, load_of
@@ -74,7 +76,7 @@
             config.discovery.host,
             config.discovery.port,
             config.known.generation,
-            connect_limit_s(settings),
+            connect_timeout_s(settings),
             self.on_list,
         )
         self.balancer = Balancer(settings, config.seed, self)
@@ -84,7 +86,7 @@
         self.balancer.start(now_us())
         self.on_list(WatchEventKind.CACHED, self.config.known.entries)
         if self.settings.discovery_mode is DiscoveryMode.PUSH:
-            self.watcher.turn(True)
+            self.watcher.start()
 
     def reload(self, config: Config) -> None:
         """Put another configuration in force, or raise ConfigError and change nothing."""
@@ -105,12 +107,12 @@
 
     def _follow_discovery(self, config: Config) -> None:
         """A live watch stays where it is: all sidecars may be told at once, and each new one costs a list."""
-        self.watcher.connect_s = connect_limit_s(config.settings)
+        self.watcher.connect_timeout_s = connect_timeout_s(config.settings)
         address = config.discovery
         if (address.host, address.port) != (self.watcher.host, self.watcher.port):
-            self.watcher.move(address.host, address.port)
+            self.watcher.change_address(address.host, address.port)
             if not self._tell(self.balancer.on_discovery_moved):
-                self.watcher.turn(True)
+                self.watcher.start()
 
     def version(self) -> str:
         """Which settings are in force, since when, and after how many changes."""
@@ -340,7 +342,10 @@
         Alarm(now_us() + delay_us, partial(self._tell, self.balancer.on_timer, timer))
 
     def watch_discovery(self, enabled: bool) -> None:
-        self.watcher.turn(enabled)
+        if enabled:
+            self.watcher.start()
+        else:
+            self.watcher.stop()
 
     def close_idle_connections(self, endpoint_id: str) -> None:
         self.upstream.close_idle(endpoint_id)
--- a/emulator/breakdown.py
+++ b/emulator/breakdown.py
@@ -20,7 +20,8 @@
 from corkdoor import balancer
 from corkdoor.policy.buckets import TokenBuckets
 from corkdoor.sidecar import __main__ as program
-from corkdoor.sidecar import clock, discovery, proxy, server, upstream
+from corkdoor.sidecar import clock, proxy, server, upstream
+from corkdoor.sidecar.discovery.client import DiscoveryClient
 from emulator.sidecar import VARIABLE
 
 # The step's name, its class, and its method.
@@ -45,7 +46,7 @@
     ("chore: check callers", server.ClientConnection, "check"),
     ("chore: report", proxy.Proxy, "report"),
     ("list taken", proxy.Proxy, "on_list"),
-    ("watch", discovery.DiscoveryWatcher, "on_response"),
+    ("watch", DiscoveryClient, "on_response"),
 )
 
 
--- a/emulator/crowded_discovery.py
+++ b/emulator/crowded_discovery.py
@@ -24,7 +24,7 @@
 from corkdoor.model import Idempotency as RepeatEffect
 from corkdoor.policy.discovery.watch_timeout import WatchTimeout
 from corkdoor.settings import LifecycleRules, Limits, RequestClass, Settings
-from corkdoor.sidecar.discovery import PATIENCE_S, WATCH_PATIENCE_S
+from corkdoor.sidecar.discovery.client import POLL_TIMEOUT_S, WATCH_GRACE_S
 
 MS = 1_000
 S = 1_000_000
@@ -223,7 +223,7 @@
         events = self.fleet.events
         self._serial += 1
         wait_us = self._watch_timeout.draw_ms(self.fleet.random.random()) * MS
-        patience_us = int(PATIENCE_S * S) if self.moved else wait_us + int(WATCH_PATIENCE_S * S)
+        patience_us = int(POLL_TIMEOUT_S * S) if self.moved else wait_us + int(WATCH_GRACE_S * S)
         after = -1 if self.moved else self.generation
         call = Call(self.number, self._serial, after, wait_us, events.now, self._carried_on)
         events.after(LATENCY_US, lambda: self.fleet.discovery.ask(call))
--- a/emulator/hollow.py
+++ b/emulator/hollow.py
@@ -30,7 +30,7 @@
 from corkdoor.sidecar.bounds import Bounds
 from corkdoor.sidecar.clock import now_us
 from corkdoor.sidecar.config import Address, Config
-from corkdoor.sidecar.discovery import EndpointList, ResolvedEndpoint, read_endpoint_list
+from corkdoor.sidecar.discovery.endpoint_list import EndpointList, ResolvedEndpoint, read_endpoint_list
 from corkdoor.sidecar.proxy import Proxy
 from emulator.discovery import Row
 from emulator.scenario import Load, Sidecar, settings_document, stream
--- a/emulator/microbench.py
+++ b/emulator/microbench.py
@@ -15,7 +15,7 @@
 from corkdoor.sidecar.bounds import Bounds
 from corkdoor.sidecar.clock import now_us
 from corkdoor.sidecar.config import Address, Config
-from corkdoor.sidecar.discovery import EndpointList, read_endpoint_list
+from corkdoor.sidecar.discovery.endpoint_list import EndpointList, read_endpoint_list
 from corkdoor.sidecar.proxy import Proxy
 from emulator.sidecar import SETTINGS, entry, listing
 
--- a/tests/sidecar_support.py
+++ b/tests/sidecar_support.py
@@ -19,7 +19,7 @@
 from corkdoor.settings_reader import read_settings
 from corkdoor.sidecar.bounds import Bounds
 from corkdoor.sidecar.config import Address, Config
-from corkdoor.sidecar.discovery import read_endpoint_list
+from corkdoor.sidecar.discovery.endpoint_list import read_endpoint_list
 from corkdoor.sidecar.proxy import Proxy
 from corkdoor.sidecar.server import Server
 
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -13,7 +13,7 @@
 from corkdoor import balancer
 from corkdoor.model import WatchEventKind
 from corkdoor.sidecar import server
-from corkdoor.sidecar.discovery import read_endpoint_list
+from corkdoor.sidecar.discovery.endpoint_list import read_endpoint_list
 from corkdoor.sidecar.upstream import Connection
 from tests.sidecar_support import SETUP, Client, Sidecar, first_asked, read_message, row, run
 
--- a/tests/test_emulator_discovery.py
+++ b/tests/test_emulator_discovery.py
@@ -13,7 +13,9 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from corkdoor.model import WatchEventKind
-from corkdoor.sidecar.discovery import CONNECT_S, DiscoveryWatcher, ResolvedEndpoint
+from corkdoor.policy.discovery.connect_timeout import MAX_TIMEOUT_S
+from corkdoor.sidecar.discovery.endpoint_list import ResolvedEndpoint
+from corkdoor.sidecar.discovery.watcher import DiscoveryWatcher
 from emulator.discovery import LOG_KEPT, Cost, DiscoveryServer, Registry, SerialQueue, read_call
 from tests.sidecar_support import row, run
 
@@ -146,11 +148,11 @@
         self.lists: asyncio.Queue[tuple[WatchEventKind, list[ResolvedEndpoint]]] = asyncio.Queue()
         self.persist = persist
         host, _, port = server.address("a").rpartition(":")
-        self.watcher = DiscoveryWatcher(host, int(port), generation, CONNECT_S, self._deliver)
+        self.watcher = DiscoveryWatcher(host, int(port), generation, MAX_TIMEOUT_S, self._deliver)
 
     def _deliver(self, form: WatchEventKind, entries: list[ResolvedEndpoint]) -> None:
         if self.persist and form not in (WatchEventKind.FULL, WatchEventKind.DELTA):
-            asyncio.get_running_loop().call_later(0.05, self.watcher.turn, True)
+            asyncio.get_running_loop().call_later(0.05, self.watcher.start)
         else:
             self.lists.put_nowait((form, entries))
 
@@ -175,14 +177,14 @@
     async def test() -> None:
         server = await begun()
         told = Told(server, 0)  # ahead of nothing: generation 0 is older than the list's first
-        told.watcher.turn(True)
+        told.watcher.start()
         assert await told.next() == (WatchEventKind.FULL, ["s-0 ready", "s-1 ready"])
         await until(lambda: server.figures.calls["watch"] == 2)
         server.change("b", [row("s-9", "127.0.0.1:9")])  # another service's: not ours to hear
         server.change("a", [row("s-1", "127.0.0.1:9", "draining")])
         assert await told.next() == (WatchEventKind.DELTA, ["s-1 draining"])
         assert told.watcher.generation == 2
-        told.watcher.turn(False)
+        told.watcher.stop()
         await server.stop()
 
     run(test())
@@ -192,7 +194,7 @@
     async def test() -> None:
         server = await begun()
         told = Told(server, 1)
-        told.watcher.turn(True)
+        told.watcher.start()
         await until(lambda: server.figures.calls["watch"] == 1)
         await server.outage(True)
         await until(lambda: server.figures.open == 0)
@@ -202,7 +204,7 @@
         server.change("a", [row("s-0", "127.0.0.1:9", "gone")])
         await server.outage(False)
         assert await told.next() == (WatchEventKind.DELTA, ["s-0 gone"])
-        told.watcher.turn(False)
+        told.watcher.stop()
         await server.stop()
 
     run(test())
@@ -213,12 +215,12 @@
         server = await begun(Cost(call_us=300_000, byte_ns=0, longest_wait_s=0.1))
         told = [Told(server, 0, persist=False) for _ in range(3)]
         for one in told:
-            one.watcher.turn(True)
+            one.watcher.start()
         forms = [(await one.next())[0] for one in told]
         assert forms.count(WatchEventKind.FULL) == 1 and forms.count(WatchEventKind.REJECTED) == 2
         assert server.figures.calls["failed"] == 2
         for one in told:
-            one.watcher.turn(False)
+            one.watcher.stop()
         await server.stop()
 
     run(test())
@@ -229,12 +231,12 @@
         server = await begun()
         server.silence(True)
         told = Told(server, 0, persist=False)
-        told.watcher.turn(True)
+        told.watcher.start()
         await until(lambda: server.figures.calls["watch"] == 1)
         server.silence(False)
         server.change("a", [row("s-0", "127.0.0.1:9", "gone")])
         assert told.lists.empty()  # the call that came in the silence stays without an answer
-        told.watcher.turn(False)
+        told.watcher.stop()
         await server.stop()
 
     run(test())
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -10,7 +10,7 @@
 
 from corkdoor.model import WatchEventKind
 from corkdoor.sidecar.clock import Alarm
-from corkdoor.sidecar.discovery import read_endpoint_list
+from corkdoor.sidecar.discovery.endpoint_list import read_endpoint_list
 from corkdoor.sidecar.proxied_request import ProxiedRequest
 from corkdoor.sidecar.server import ClientConnection
 from corkdoor.sidecar.upstream import Attempt, Connection, Pool
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -25,8 +25,8 @@
             await sidecar.discovery.next()
             other = await Fake().start()
             host, _, port = other.address.rpartition(":")
-            sidecar.proxy.watcher.move(host, int(port))
-            sidecar.proxy.watcher.turn(True)
+            sidecar.proxy.watcher.change_address(host, int(port))
+            sidecar.proxy.watcher.start()
             await sidecar.discovery.ends.get()  # the old watch is closed
             asked = await other.next()
             assert asked.message.first == "GET /discovery/hosts HTTP/1.1"
@@ -110,8 +110,8 @@
             await sidecar.discovery.next()
             watcher = sidecar.proxy.watcher
             for _ in range(3):  # in a row, before any has been answered
-                watcher.move(watcher.host, watcher.port)
-                watcher.turn(True)
+                watcher.change_address(watcher.host, watcher.port)
+                watcher.start()
             asked = await sidecar.discovery.next()
             assert asked.message.first == "GET /discovery/hosts HTTP/1.1"
             asked.reply(200, listing(2, True, row("s-0", sidecar.endpoints[0].address)))
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -18,7 +18,7 @@
 from corkdoor.sidecar import __main__ as entry
 from corkdoor.sidecar import proxied_request
 from corkdoor.sidecar.clock import Alarm, now_us
-from corkdoor.sidecar.discovery import read_endpoint_list
+from corkdoor.sidecar.discovery.endpoint_list import read_endpoint_list
 from corkdoor.sidecar.proxied_request import ProxiedRequest
 from tests.sidecar_support import (
     SETUP,
--- a/tests/test_unsafe.py
+++ b/tests/test_unsafe.py
@@ -9,7 +9,7 @@
 
 from corkdoor.model import WatchEventKind
 from corkdoor.sidecar import upstream
-from corkdoor.sidecar.discovery import read_endpoint_list
+from corkdoor.sidecar.discovery.endpoint_list import read_endpoint_list
 from tests.sidecar_support import SETUP, Asked, Fake, Sidecar, first_asked, one_attempt, row, run
 
 ALLOWED = {**SETUP["Allowed"], "SecondCopies": True, "ConnectTimeoutUs": 100_000}
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -13,7 +13,7 @@
 from corkdoor.model import Outcome, WatchEventKind
 from corkdoor.sidecar import proxied_request, upstream
 from corkdoor.sidecar.bounds import Budget
-from corkdoor.sidecar.discovery import ResolvedEndpoint, read_endpoint_list
+from corkdoor.sidecar.discovery.endpoint_list import ResolvedEndpoint, read_endpoint_list
 from corkdoor.sidecar.invariants import InvariantLog, Location
 from corkdoor.sidecar.upstream import Attempt, Response, Upstream
 from tests.sidecar_support import (
--- a/tests/test_watching.py
+++ b/tests/test_watching.py
@@ -24,8 +24,8 @@
     MAX_INTERVAL_US,
 )
 from corkdoor.settings import LifecycleRules
-from corkdoor.sidecar import discovery
 from corkdoor.sidecar.config import Address
+from corkdoor.sidecar.discovery import client as discovery_client
 from corkdoor.sidecar.stream import connect
 from tests.sidecar_support import Sidecar, listing, read_message, row, run
 from tests.support import Host, S, settings
@@ -38,7 +38,7 @@
     monkeypatch.setattr(watch_timeout, "FIRST_MS", 100)
     monkeypatch.setattr(watch_timeout, "LOSSY_MS", 100)
     monkeypatch.setattr(watch_timeout, "MAX_MS", 100)
-    monkeypatch.setattr(discovery, "WATCH_PATIENCE_S", 0.1)
+    monkeypatch.setattr(discovery_client, "WATCH_GRACE_S", 0.1)
 
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
@@ -66,7 +66,7 @@
     monkeypatch.setattr(watch_timeout, "FIRST_MS", 100)
     monkeypatch.setattr(watch_timeout, "LOSSY_MS", 100)
     monkeypatch.setattr(watch_timeout, "MAX_MS", 100)
-    monkeypatch.setattr(discovery, "WATCH_PATIENCE_S", 0.1)
+    monkeypatch.setattr(discovery_client, "WATCH_GRACE_S", 0.1)
 
     async def test() -> None:
         dials = 0
@@ -79,7 +79,7 @@
                 await asyncio.Event().wait()
             return await connect(*values)
 
-        monkeypatch.setattr(discovery, "connect", hanging)
+        monkeypatch.setattr(discovery_client, "connect", hanging)
         async with Sidecar() as sidecar:
             sidecar.proxy.balancer.discovery.backoff.interval_us = 60_000_000  # as after a long outage
             await sidecar.discovery.next()  # silent
@@ -154,11 +154,10 @@
                 await sidecar.discovery.next()
                 sidecar.proxy.reload(replace(sidecar.config, discovery=address))
             else:
-                sidecar.proxy.watcher.move(
-                    address.host, address.port
-                )  # as if it had been there from the start
-                sidecar.proxy.watcher.moved = False
-                sidecar.proxy.watcher.turn(True)
+                watcher = sidecar.proxy.watcher
+                watcher.change_address(address.host, address.port)
+                watcher.known_generation = watcher.generation  # as if it had been there from the start
+                watcher.start()
             await asyncio.sleep(OUTAGE_S)
             await outage.end()
             while not outage.told and time.monotonic() < outage.back_s + 6.0:
