--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -1,8 +1,17 @@
 """Known failing tests: which ones they are, and whether each of them still fails.
 
-`KNOWN-RED.txt` at the root has one line a test, `TEST | CAUSE | issue N`. CI leaves exactly these out of the
-suite and runs each of them apart. It fails where the list is malformed or too long, where a listed test does
-not exist, and where one passes: then it has to come off the list.
+`KNOWN-RED.txt` at the root holds one entry a test, with a blank line between two entries and each of these fields
+on a line of its own, in this order:
+
+    test: tests/test_a.py::test_x
+    command: pytest tests/test_a.py::test_x
+    seed: 7
+    seen: the answer is lost in one play of three
+    issue: 19
+
+`seed` is `none` for a test that draws nothing. CI leaves exactly these tests out of the suite and runs each of
+them apart. It fails where the list is malformed or too long, where a listed test does not exist, and where one
+passes: then it has to come off the list.
 
 Usage: `known_red.py options` prints pytest's options that leave the listed tests out; `known_red.py check`
 runs them. Both exit with 1 and one line on standard error where the list is not acceptable.
@@ -19,8 +28,10 @@
 
 LIST_NAME = "KNOWN-RED.txt"
 MAX_ENTRIES = 3
+MAX_FIELD_CHARACTERS = 200
+FIELDS = ("test", "command", "seed", "seen", "issue")
 PYTEST_TESTS_FAILED = 1  # pytest's exit status for "tests were collected and run, and some failed"
-ISSUE = re.compile(r"issue [1-9][0-9]*\Z")
+ISSUE = re.compile(r"[1-9][0-9]*\Z")
 NO_CACHE = ("-p", "no:cacheprovider")
 
 
@@ -29,16 +40,19 @@
 
 
 class KnownFailure(NamedTuple):
-    """One line of the list."""
+    """One entry of the list."""
 
     test: str  # pytest's id of a test function, or of one of its parameter sets
-    cause: str
+    command: str  # what shows the failure
+    seed: str  # "none": the test draws nothing
+    seen: str
     issue: str
 
 
 def parse(text: str) -> list[KnownFailure]:
-    """Read the list; blank lines do not count. Raises ListError."""
-    failures = [_parse_line(line) for line in text.splitlines() if line.strip()]
+    """Read the list. Raises ListError."""
+    entries = [entry for entry in re.split(r"\n\s*\n", text.strip()) if entry.strip()]
+    failures = [_parse_entry(entry) for entry in entries]
     if len(failures) > MAX_ENTRIES:
         raise ListError(f"{len(failures)} tests are listed, {MAX_ENTRIES} at most are allowed")
     tests = [failure.test for failure in failures]
@@ -47,20 +61,29 @@
     return failures
 
 
-def _parse_line(line: str) -> KnownFailure:
-    fields = [field.strip() for field in line.split("|")]
-    if len(fields) != 3:
-        raise ListError(f"not 'TEST | CAUSE | issue N': {line!r}")
-    failure = KnownFailure(*fields)
-    if "::" not in failure.test or failure.test.startswith("-") or " " in failure.test:
-        raise ListError(f"no id of a test: {failure.test!r}")
-    if not failure.cause:
-        raise ListError(f"no cause: {failure.test}")
-    if not ISSUE.match(failure.issue):
-        raise ListError(f"no issue: {failure.test}")
+def _parse_entry(entry: str) -> KnownFailure:
+    pairs = [line.partition(":") for line in entry.splitlines()]
+    if tuple(name.strip() for name, _, _ in pairs) != FIELDS:
+        raise ListError(f"an entry takes the fields {', '.join(FIELDS)}, one a line: {entry!r}")
+    failure = KnownFailure(*(value.strip() for _, _, value in pairs))
+    _check_fields(failure)
     return failure
 
 
+def _check_fields(failure: KnownFailure) -> None:
+    test = failure.test
+    if "::" not in test or test.startswith("-") or " " in test:
+        raise ListError(f"no id of a test: {test!r}")
+    if test not in failure.command:
+        raise ListError(f"the command does not name the test: {test}")
+    if not failure.seed or not failure.seen:
+        raise ListError(f"no seed, or not told what was seen: {test}")
+    if not ISSUE.match(failure.issue):
+        raise ListError(f"no number of an issue: {test}")
+    if any(len(value) > MAX_FIELD_CHARACTERS for value in failure):
+        raise ListError(f"a field is longer than {MAX_FIELD_CHARACTERS} characters: {test}")
+
+
 def require_exact(failure: KnownFailure, collected: Sequence[str]) -> None:
     """Check that leaving the test out leaves out nothing else: pytest takes ids as prefixes."""
     meant = {name for name in collected if name == failure.test or name.startswith(f"{failure.test}[")}
@@ -103,7 +126,8 @@
             raise ListError(f"it passes, take it off the list: {failure.test}")
         if status != PYTEST_TESTS_FAILED:
             raise ListError(f"pytest ended with {status}: {failure.test}")
-        print(f"known to fail, passed over: {failure.test} ({failure.cause}; {failure.issue})", flush=True)
+        told = f"seed {failure.seed}: {failure.seen}; issue {failure.issue}"
+        print(f"known to fail, passed over: {failure.test} ({told})", flush=True)
 
 
 def main(arguments: Sequence[str]) -> int:
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -12,39 +12,64 @@
 def load_script() -> ModuleType:
     path = Path(__file__).parent.parent / ".ci" / "known_red.py"
     spec = importlib.util.spec_from_file_location("known_red", path)
-    assert spec is not None and spec.loader is not None
+    assert spec is not None
+    assert spec.loader is not None
     module = importlib.util.module_from_spec(spec)
     spec.loader.exec_module(module)
     return module
 
 
 known_red = load_script()
-LINE = "tests/test_a.py::test_{} | the answer is lost | issue 19"
+TEST = "tests/test_a.py::test_{}"
 
 
-def test_lines_are_read_and_blank_ones_skipped() -> None:
-    failures = known_red.parse("\n".join([LINE.format("x"), "", LINE.format("y")]))
-    assert [failure.test for failure in failures] == ["tests/test_a.py::test_x", "tests/test_a.py::test_y"]
-    assert failures[0].cause == "the answer is lost"
-    assert failures[0].issue == "issue 19"
+def entry(name: str = "x", **changes: str) -> str:
+    """One entry of the list, with these fields changed."""
+    test = TEST.format(name)
+    fields = {
+        "test": test,
+        "command": f"pytest {test}",
+        "seed": "7",
+        "seen": "the answer is lost",
+        "issue": "19",
+    }
+    fields.update(changes)
+    return "\n".join(f"{key}: {value}" for key, value in fields.items())
+
+
+def test_entries_are_read_and_blank_lines_skipped() -> None:
+    failures = known_red.parse("\n\n" + entry("x") + "\n\n\n" + entry("y", seed="none") + "\n")
+    assert [failure.test for failure in failures] == [TEST.format("x"), TEST.format("y")]
+    first, second = failures
+    assert first.command == "pytest tests/test_a.py::test_x"
+    assert (first.seed, second.seed) == ("7", "none")
+    assert first.seen == "the answer is lost"
+    assert first.issue == "19"
 
 
 @pytest.mark.parametrize(
     "text",
     [
-        "\n".join(LINE.format(n) for n in range(4)),
-        "\n".join([LINE.format("x"), LINE.format("x")]),
-        "tests/test_a.py::test_x",
-        "tests/test_a.py::test_x | issue 19",
-        "tests/test_a.py::test_x | | issue 19",
-        "tests/test_a.py::test_x | cause |",
-        "tests/test_a.py::test_x | cause | soon",
-        "tests/test_a.py | cause | issue 19",
-        "--deselect=tests::all | cause | issue 19",
-        "tests/test_a.py::test_x tests/test_b.py::test_y | cause | issue 19",
+        "\n\n".join(entry(str(number)) for number in range(4)),
+        "\n\n".join([entry(), entry()]),
+        "test: tests/test_a.py::test_x",
+        "tests/test_a.py::test_x | the answer is lost | issue 19",
+        "\n".join(reversed(entry().splitlines())),
+        entry() + "\nnote: more",
+        entry(seen=""),
+        entry(seed=""),
+        entry(command=""),
+        entry(command="pytest tests/test_b.py::test_y"),
+        entry(issue=""),
+        entry(issue="soon"),
+        entry(issue="0"),
+        entry(seen="x" * 201),
+        entry(test="tests/test_a.py"),
+        entry(test="--deselect=tests::all"),
+        entry(test="tests/test_a.py::test_x tests/test_b.py::test_y"),
     ],
 )
-def test_list_that_is_too_long_or_lacks_a_part_is_refused(text: str) -> None:
+def test_list_that_is_too_long_or_lacks_a_field_is_refused(text: str) -> None:
     with pytest.raises(known_red.ListError):
         known_red.parse(text)
 
@@ -59,7 +84,7 @@
     ],
 )
 def test_listed_test_exists_and_stands_for_no_other(collected: list[str], accepted: bool) -> None:
-    (failure,) = known_red.parse(LINE.format("x"))
+    (failure,) = known_red.parse(entry())
     if accepted:
         known_red.require_exact(failure, collected)
     else:
@@ -69,12 +94,12 @@
 
 @pytest.mark.parametrize(("status", "accepted"), [(0, False), (1, True), (2, False), (4, False), (5, False)])
 def test_only_the_failure_of_a_listed_test_is_passed_over(status: int, accepted: bool) -> None:
-    failures = known_red.parse(LINE.format("x"))
+    failures = known_red.parse(entry())
     if accepted:
-        known_red.check(failures, lambda test: status)
+        known_red.check(failures, lambda _: status)
     else:
         with pytest.raises(known_red.ListError):
-            known_red.check(failures, lambda test: status)
+            known_red.check(failures, lambda _: status)
 
 
 def test_test_that_fails_and_one_that_passes(tmp_path: Path) -> None:
