--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -1,7 +1,7 @@
 """Known failing tests: which ones they are, and whether each of them still fails.
 
-`KNOWN-RED.txt` at the root holds one entry a test, with a blank line between two entries and each of these fields
-on a line of its own, in this order:
+`KNOWN-RED.txt` at the root holds one entry a test, with a blank line between two entries and each of these
+fields on a line of its own, in this order:
 
     test: tests/test_a.py::test_x
     command: pytest tests/test_a.py::test_x
@@ -9,9 +9,9 @@
     seen: the answer is lost in one play of three
     issue: 19
 
-`seed` is `none` for a test that draws nothing. CI leaves exactly these tests out of the suite and runs each of
-them apart. It fails where the list is malformed or too long, where a listed test does not exist, and where one
-passes: then it has to come off the list.
+`seed` is `none` for a test that draws nothing. CI leaves exactly these tests out of the suite and runs each
+of them apart. It fails where the list is malformed or too long, where a listed test does not exist, and where
+one passes: then it has to come off the list.
 
 Usage: `known_red.py options` prints pytest's options that leave the listed tests out; `known_red.py check`
 runs them. Both exit with 1 and one line on standard error where the list is not acceptable.
