--- a/corkdoor/settings.py
+++ b/corkdoor/settings.py
@@ -1,7 +1,4 @@
-"""The settings of one instance, as typed and validated values.
-
-A value out of range raises ValueError, worded `field: what is wrong`.
-"""
+"""The settings of one instance, as typed and validated values; one out of range raises SettingsError."""
 
 from __future__ import annotations
 
@@ -14,14 +11,28 @@
 MAX_FIGURE = 1 << 64  # larger figures would overflow once they are in force
 
 
-def _require(ok: bool, name: str, why: str) -> None:
+class SettingsError(ValueError):
+    """Settings that can't be put in force.
+
+    Attributes:
+        key: the field concerned, or its key in the document that the settings were read from.
+        reason: what is wrong with its value.
+    """
+
+    def __init__(self, key: str, reason: str) -> None:
+        super().__init__(f"{key}: {reason}")
+        self.key = key
+        self.reason = reason
+
+
+def _require(ok: bool, field_name: str, reason: str) -> None:
     if not ok:
-        raise ValueError(f"{name}: {why}")
+        raise SettingsError(field_name, reason)
 
 
-def _require_bounded(values: Any) -> None:
-    for one in fields(values):
-        value = getattr(values, one.name)
+def _require_bounded(settings: Any) -> None:
+    for one in fields(settings):
+        value = getattr(settings, one.name)
         if isinstance(value, int | float):
             _require(abs(value) <= MAX_FIGURE, one.name, "too large, or no number")
 
--- a/corkdoor/settings_reader.py
+++ b/corkdoor/settings_reader.py
@@ -1,178 +1,216 @@
-"""Reads the settings object that a host is given for an instance: the wire adapter and the sidecar alike."""
+"""Reads the settings object of one instance; only here are the keys of its JSON document named.
+
+Each settings type has one table: key, field, parser and default, side by side. Unknown keys are skipped.
+"""
 
 from __future__ import annotations
 
-from collections.abc import Callable
-from typing import Any
+from collections.abc import Callable, Collection, Sequence
+from typing import Any, NamedTuple, TypeVar
 
 from corkdoor.model import DeduplicationScope, DiscoveryMode, Idempotency
-from corkdoor.settings import Costs, LifecycleRules, Limits, Objective, RequestClass, Settings, Tenant
+from corkdoor.settings import (
+    Costs,
+    LifecycleRules,
+    Limits,
+    Objective,
+    RequestClass,
+    Settings,
+    SettingsError,
+    Tenant,
+)
+from corkdoor.settings_parsers import (
+    Parser,
+    parse_choice,
+    parse_flag,
+    parse_integer,
+    parse_length,
+    parse_list,
+    parse_names,
+    parse_number,
+    parse_object,
+    parse_text,
+)
 
-BY_WORTH = ("Whole", "WorstWindow", "WorstTenant", "Availability")  # parts of `Goal` that add up worth
-BY_CLASS = ("WorstClass", "Tail")  # and those that look at each class alone
+Built = TypeVar("Built")
 
+REQUIRED = object()  # in place of a default
+REQUEST_WEIGHTS = ("Whole", "WorstWindow", "WorstTenant", "Availability")
+CLASS_WEIGHTS = ("WorstClass", "Tail")
+DEDUPLICATION_KEYS = frozenset(("Group", "DedupWindowUs"))  # required where repeats are deduplicated
 
-def _get(table: Any, key: str, kind: type | tuple[type, ...], where: str, default: Any = None) -> Any:
-    """A checked value of a settings table; without a default it is required."""
-    if not isinstance(table, dict):
-        raise ValueError(f"{where.rstrip('.')}: must be an object")
-    value = table.get(key)
-    if value is None:
-        if default is None:
-            raise ValueError(f"{where}{key}: missing")
-        return default
-    if not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool):
-        raise ValueError(f"{where}{key}: impossible value {value!r}")
-    return value
 
+class SettingKey(NamedTuple):
+    """One key of the document.
 
-def _choice(enum: type[Any], table: Any, key: str, where: str, default: str | None = None) -> Any:
-    value = _get(table, key, str, where, default)
-    try:
-        return enum(value)
-    except ValueError:
-        raise ValueError(f"{where}{key}: impossible value {value!r}") from None
+    Attributes:
+        key: the key.
+        field: the field of the settings type that it fills.
+        parse: checks and converts its value.
+        default: the field's value where the key is absent or null; REQUIRED: that is an error.
+    """
+
+    key: str
+    field: str
+    parse: Parser
+    default: Any = REQUIRED
+
+
+def _section(make: Callable[..., Any], keys: Sequence[SettingKey]) -> Parser:
+    """Return the parser of an object that fills a settings type of its own."""
+
+    def parse(value: object, key: str) -> Any:
+        return _build(make, keys, parse_object(value, key), f"{key}.")
+
+    return parse
+
+
+def _each(read: Callable[[Any, str], Built]) -> Parser:
+    """Return the parser of a list of objects."""
 
+    def parse(value: object, key: str) -> tuple[Built, ...]:
+        rows = parse_list(value, key)
+        return tuple(read(row, f"{key}[{index}]") for index, row in enumerate(rows))
 
-def _names(table: Any, key: str, where: str) -> frozenset[str] | None:
-    """A list of names that may be absent; an empty one is a list all the same and allows nothing."""
-    if table.get(key) is None:
-        return None
-    value = _get(table, key, list, where)
-    if not all(isinstance(name, str) for name in value):
-        raise ValueError(f"{where}{key}: impossible value {value!r}")
-    return frozenset(value)
+    return parse
 
 
-def _fields(make: Callable[..., Any], where: str, renamed: dict[str, str], **values: Any) -> Any:
-    """Build a settings class; its complaints about a field are worded with the wire's key."""
+def _values(
+    keys: Sequence[SettingKey], table: dict[str, Any], prefix: str, required: Collection[str] = ()
+) -> dict[str, Any]:
+    """Return the fields' values; the keys in `required` have no default here."""
+    values = {}
+    for key, field, parse, default in keys:
+        value = table.get(key)
+        if value is not None:
+            values[field] = parse(value, f"{prefix}{key}")
+        elif default is REQUIRED or key in required:
+            raise SettingsError(f"{prefix}{key}", "missing")
+        else:
+            values[field] = default
+    return values
+
+
+def _build(
+    make: Callable[..., Built],
+    keys: Sequence[SettingKey],
+    table: dict[str, Any],
+    prefix: str,
+    required: Collection[str] = (),
+) -> Built:
+    return _make(make, keys, _values(keys, table, prefix, required), prefix)
+
+
+def _make(
+    make: Callable[..., Built], keys: Sequence[SettingKey], values: dict[str, Any], prefix: str
+) -> Built:
+    """Make a settings object; its complaint about a field names the field's key."""
     try:
         return make(**values)
-    except ValueError as error:
-        name, _, why = str(error).partition(": ")
-        raise ValueError(f"{where}{renamed.get(name, name)}: {why}") from None
-
-
-def read_settings(setup: Any) -> Settings:
-    """Read the settings of `power_on`; unknown keys are skipped, absent optional ones take defaults."""
-    number = (int, float)
-    if not isinstance(setup, dict):
-        raise ValueError("Setup: must be an object")
-    classes = []
-    for i, c in enumerate(_get(setup, "Categories", list, "")):
-        where = f"Categories[{i}]."
-        renamed = {
-            "name": "Name",
-            "latency_objective_us": "AimUs",
-            "deadline_us": "DeadlineUs",
-            "priority_weight": "Credit",
-            "late_answer_value": "LateShare",
-            "deduplication_window_us": "DedupWindowUs",
-        }
-        idempotency = _choice(Idempotency, c, "Effect", where)
-        keyed = idempotency is Idempotency.WITH_KEY
-        classes.append(
-            _fields(
-                RequestClass,
-                where,
-                renamed,
-                name=_get(c, "Name", str, where),
-                latency_objective_us=_get(c, "AimUs", int, where),
-                deadline_us=_get(c, "DeadlineUs", int, where),
-                idempotency=idempotency,
-                deduplication_scope=_choice(DeduplicationScope, c, "Group", where, None if keyed else "all"),
-                deduplication_window_us=_get(c, "DedupWindowUs", int, where, None if keyed else 0),
-                priority_weight=float(_get(c, "Credit", number, where, 1.0)),
-                late_answer_value=float(_get(c, "LateShare", number, where, 0.0)),
-                streaming=_get(c, "Streaming", bool, where, False),
-                allowed_zones=_names(c, "StaysIn", where),
-                allowed_machine_types=_names(c, "ServedOn", where),
-            )
-        )
-    tenants = []
-    for i, t in enumerate(_get(setup, "Parties", list, "", [])):
-        where = f"Parties[{i}]."
-        renamed = {"name": "Name", "weight": "Share", "quota_per_s": "QuotaPerS"}
-        tenants.append(
-            _fields(
-                Tenant,
-                where,
-                renamed,
-                name=_get(t, "Name", str, where),
-                weight=float(_get(t, "Share", number, where, 0.0)),
-                quota_per_s=float(_get(t, "QuotaPerS", number, where, 0.0)),
-            )
-        )
-    allowed, charges = _get(setup, "Allowed", dict, "", {}), _get(setup, "Charges", dict, "", {})
-    figures = _get(setup, "Rules", dict, "", {})
-    limits = _fields(
-        Limits,
-        "Allowed.",
-        {
-            "max_attempts": "MaxAttempts",
-            "max_retry_after_us": "MaxRetryAfterUs",
-            "idle_connection_us": "ConnIdleUs",
-            "connect_timeout_us": "ConnectTimeoutUs",
-        },
-        max_attempts=_get(allowed, "MaxAttempts", int, "Allowed.", 3),
-        max_retry_after_us=_get(allowed, "MaxRetryAfterUs", int, "Allowed.", 1_000_000),
-        hedging_allowed=_get(allowed, "SecondCopies", bool, "Allowed.", False),
-        cancellation_allowed=_get(allowed, "MayCancel", bool, "Allowed.", False),
-        idle_connection_us=_get(allowed, "ConnIdleUs", int, "Allowed.", 0),
-        connect_timeout_us=_get(allowed, "ConnectTimeoutUs", int, "Allowed.", 250_000),
-        retry_after_allowed=_get(allowed, "RetryAfter", bool, "Allowed.", False),
-    )
-    costs = Costs(cross_zone=float(_get(charges, "CrossZone", number, "Charges.", 0.0)))
-    rules = _fields(
-        LifecycleRules,
-        "Rules.",
-        {
-            "slow_start_us": "ColdUs",
-            "slow_start_initial_share": "ColdFrom",
-            "overload_factor": "OverloadFactor",
-            "drain_grace_us": "DrainGraceUs",
-            "poll_interval_us": "AskEveryUs",
-        },
-        slow_start_us=_get(figures, "ColdUs", int, "Rules.", 10_000_000),
-        slow_start_initial_share=float(_get(figures, "ColdFrom", number, "Rules.", 0.1)),
-        overload_factor=float(_get(figures, "OverloadFactor", number, "Rules.", 2.0)),
-        drain_grace_us=_get(figures, "DrainGraceUs", int, "Rules.", 1_500_000),
-        poll_interval_us=_get(figures, "AskEveryUs", int, "Rules.", 10_000_000),
-    )
-    parts = _get(setup, "Goal", dict, "", {})
-    weight = {key: float(_get(parts, key, number, "Goal.", 0.0)) for key in BY_WORTH + BY_CLASS}
-    for key, value in weight.items():
-        if value < 0:
-            raise ValueError(f"Goal.{key}: must not be negative")
-    objective = Objective(
-        request_weight=sum(weight[key] for key in BY_WORTH) if parts else 1.0,
-        class_weight=sum(weight[key] for key in BY_CLASS),
-    )
-    layer = _get(setup, "Layer", int, "", 0)
-    tiers = _get(setup, "Tiers", list, "", [""] * (layer + 1))  # their names are used for nothing
-    return _fields(  # type: ignore[no-any-return]
-        Settings,
-        "",
-        {
-            "classes": "Categories",
-            "tenants": "Parties",
-            "instance_index": "Rank",
-            "instance_count": "Balancers",
-            "layer": "Layer",
-            "layer_count": "Tiers",
-            "over_quota_weight": "OverShareWorth",
-        },
-        classes=tuple(classes),
-        instance_index=_get(setup, "Rank", int, "", 0),
-        instance_count=_get(setup, "Balancers", int, "", 1),
-        layer=layer,
-        layer_count=len(tiers),
-        zone=_get(setup, "MyZone", str, "", ""),
-        tenants=tuple(tenants),
-        over_quota_weight=float(_get(setup, "OverShareWorth", number, "", 1.0)),
-        discovery_mode=_choice(DiscoveryMode, setup, "Discovery", "", "push"),
-        limits=limits,
-        costs=costs,
-        objective=objective,
-        lifecycle=rules,
+    except SettingsError as error:
+        names = {field: key for key, field, _, _ in keys}
+        raise SettingsError(f"{prefix}{names[error.key]}", error.reason) from None
+
+
+def _read_request_class(row: Any, key: str) -> RequestClass:
+    if not isinstance(row, dict):
+        raise SettingsError(key, "must be an object")
+    deduplicated = row.get("Effect") == Idempotency.WITH_KEY.value
+    required = DEDUPLICATION_KEYS if deduplicated else ()
+    return _build(RequestClass, REQUEST_CLASS, row, f"{key}.", required)
+
+
+def _read_tenant(row: Any, key: str) -> Tenant:
+    if not isinstance(row, dict):
+        raise SettingsError(key, "must be an object")
+    return _build(Tenant, TENANT, row, f"{key}.")
+
+
+def _objective(value: object, key: str) -> Objective:
+    """Add up the weights of the parts; without any part, single requests have them all."""
+    parts = parse_object(value, key)
+    if not parts:
+        return Objective()
+    table = [SettingKey(name, name, parse_number, 0.0) for name in REQUEST_WEIGHTS + CLASS_WEIGHTS]
+    weights = _values(table, parts, f"{key}.")
+    for name, weight in weights.items():
+        if weight < 0:
+            raise SettingsError(f"{key}.{name}", "must not be negative")
+    return Objective(
+        request_weight=sum(weights[name] for name in REQUEST_WEIGHTS),
+        class_weight=sum(weights[name] for name in CLASS_WEIGHTS),
     )
+
+
+# --- tables ---
+
+REQUEST_CLASS = (
+    SettingKey("Effect", "idempotency", parse_choice(Idempotency)),
+    SettingKey("Name", "name", parse_text),
+    SettingKey("AimUs", "latency_objective_us", parse_integer),
+    SettingKey("DeadlineUs", "deadline_us", parse_integer),
+    SettingKey("Group", "deduplication_scope", parse_choice(DeduplicationScope), DeduplicationScope.ALL),
+    SettingKey("DedupWindowUs", "deduplication_window_us", parse_integer, 0),
+    SettingKey("Credit", "priority_weight", parse_number, 1.0),
+    SettingKey("LateShare", "late_answer_value", parse_number, 0.0),
+    SettingKey("Streaming", "streaming", parse_flag, False),
+    SettingKey("StaysIn", "allowed_zones", parse_names, None),
+    SettingKey("ServedOn", "allowed_machine_types", parse_names, None),
+)
+
+TENANT = (
+    SettingKey("Name", "name", parse_text),
+    SettingKey("Share", "weight", parse_number, 0.0),
+    SettingKey("QuotaPerS", "quota_per_s", parse_number, 0.0),
+)
+
+LIMITS = (
+    SettingKey("MaxAttempts", "max_attempts", parse_integer, 3),
+    SettingKey("MaxRetryAfterUs", "max_retry_after_us", parse_integer, 1_000_000),
+    SettingKey("SecondCopies", "hedging_allowed", parse_flag, False),
+    SettingKey("MayCancel", "cancellation_allowed", parse_flag, False),
+    SettingKey("ConnIdleUs", "idle_connection_us", parse_integer, 0),
+    SettingKey("ConnectTimeoutUs", "connect_timeout_us", parse_integer, 250_000),
+    SettingKey("RetryAfter", "retry_after_allowed", parse_flag, False),
+)
+
+COSTS = (SettingKey("CrossZone", "cross_zone", parse_number, 0.0),)
+
+LIFECYCLE = (
+    SettingKey("ColdUs", "slow_start_us", parse_integer, 10_000_000),
+    SettingKey("ColdFrom", "slow_start_initial_share", parse_number, 0.1),
+    SettingKey("OverloadFactor", "overload_factor", parse_number, 2.0),
+    SettingKey("DrainGraceUs", "drain_grace_us", parse_integer, 1_500_000),
+    SettingKey("AskEveryUs", "poll_interval_us", parse_integer, 10_000_000),
+)
+
+SETTINGS = (
+    SettingKey("Categories", "classes", _each(_read_request_class)),
+    SettingKey("Parties", "tenants", _each(_read_tenant), ()),
+    SettingKey("Allowed", "limits", _section(Limits, LIMITS), Limits()),
+    SettingKey("Charges", "costs", _section(Costs, COSTS), Costs()),
+    SettingKey("Rules", "lifecycle", _section(LifecycleRules, LIFECYCLE), LifecycleRules()),
+    SettingKey("Goal", "objective", _objective, Objective()),
+    SettingKey("Layer", "layer", parse_integer, 0),
+    SettingKey("Tiers", "layer_count", parse_length, None),
+    SettingKey("Rank", "instance_index", parse_integer, 0),
+    SettingKey("Balancers", "instance_count", parse_integer, 1),
+    SettingKey("MyZone", "zone", parse_text, ""),
+    SettingKey("OverShareWorth", "over_quota_weight", parse_number, 1.0),
+    SettingKey("Discovery", "discovery_mode", parse_choice(DiscoveryMode), DiscoveryMode.PUSH),
+)
+
+
+def read_settings(document: Any) -> Settings:
+    """Read the settings of one instance.
+
+    Raises:
+        SettingsError: a key is missing or has an impossible value.
+        OverflowError: a number is too large to be converted.
+    """
+    if not isinstance(document, dict):
+        raise SettingsError("Setup", "must be an object")
+    values = _values(SETTINGS, document, "")
+    if values["layer_count"] is None:
+        values["layer_count"] = values["layer"] + 1
+    return _make(Settings, SETTINGS, values, "")
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -7,47 +7,16 @@
 import os
 import subprocess
 import sys
-from typing import Any
 
 import pytest
 
-from corkdoor.model import DeduplicationScope, DiscoveryMode, Idempotency
-from corkdoor.settings_reader import read_settings
 from corkdoor.simulator import ProtocolError, SimulatorAdapter
-
-
-def setup(**changes: Any) -> dict[str, Any]:
-    """A deployment written for these tests."""
-    made: dict[str, Any] = {
-        "Allowed": {"MaxAttempts": 3, "ConnIdleUs": 9000000, "MayCancel": True, "Novelty": 7},
-        "Balancers": 2,
-        "Categories": [
-            {"Name": "look", "AimUs": 200000, "DeadlineUs": 900000, "Effect": "idempotent"},
-            {
-                "Name": "book", "AimUs": 300000, "DeadlineUs": 900000, "Effect": "deduplicated",
-                "Group": "zone", "DedupWindowUs": 500000, "Credit": 4,
-                "StaysIn": ["east"], "ServedOn": ["std"],
-            },
-        ],
-        "Charges": {"CrossZone": 0.1},
-        "Discovery": "push",
-        "Goal": {"Whole": 0.5, "WorstClass": 0.3, "Tail": 0.2, "TailSlack": 0.02},
-        "Layer": 0,
-        "MyZone": "east",
-        "Parties": [{"Name": "first", "Share": 0.5, "QuotaPerS": 20}],
-        "Rank": 1,
-        "Rules": {"ColdFrom": 0.2, "ColdUs": 5000000},
-        "Tiers": ["one", "two"],
-        "SomethingNew": {"a": 1},
-    }  # fmt: skip
-    made.update(changes)
-    return made
-
+from tests.settings_documents import settings_document
 
 START = [
     "sync 1000",
-    f"power_on sidecar_0 5 {json.dumps(setup())}",
-    f"power_on sidecar_1 6 {json.dumps(setup(Discovery='ask'))}",
+    f"power_on sidecar_0 5 {json.dumps(settings_document())}",
+    f"power_on sidecar_1 6 {json.dumps(settings_document(Discovery='ask'))}",
     "manifest 0 3",
     "row 10.0.0.1:80 east std 0 ready 1 -",
     "row 10.0.0.2:80 east std 0 ready 1.5 500",
@@ -98,7 +67,7 @@
             "expired sidecar_0 00000000000000dd",
             "discovery sidecar_1 X 5 0",
             "stop sidecar_0",
-            f"power_on sidecar_0 9 {json.dumps(setup())}",
+            f"power_on sidecar_0 9 {json.dumps(settings_document())}",
             "discovery sidecar_0 C 4 0",
             "order sidecar_0 00000000000000aa look - - 500000 - 0",
             "over_to_you",
@@ -197,44 +166,3 @@
         for seed in ("0", "1", "77")
     }
     assert len(outputs) == 1
-
-
-def test_settings_are_read_and_unknown_keys_skipped() -> None:
-    read = read_settings(setup())
-    assert read.classes[1].idempotency is Idempotency.WITH_KEY
-    assert read.classes[1].deduplication_scope is DeduplicationScope.ZONE
-    assert (read.instance_index, read.instance_count, read.layer_count, read.zone) == (1, 2, 2, "east")
-    assert read.costs.cross_zone == 0.1
-    assert read.discovery_mode is DiscoveryMode.PUSH
-    assert (read.objective.request_weight, read.objective.class_weight) == (0.5, 0.5)
-    assert read.classes[0].allowed_zones is None
-    assert read.classes[1].allowed_zones == frozenset(("east",))
-    assert read.classes[1].allowed_machine_types == frozenset(("std",))
-    assert read.limits.idle_connection_us == 9_000_000
-    bare = read_settings({"Categories": setup()["Categories"][:1]})
-    assert bare.tenants == ()
-    assert bare.limits.hedging_allowed is False
-
-
-@pytest.mark.parametrize(
-    ("changes", "key"),
-    [
-        ({"Categories": []}, "Categories"),
-        ({"Categories": [{"Name": "look", "AimUs": 1, "DeadlineUs": 1, "Effect": "magic"}]}, "Effect"),
-        ({"Categories": [{"Name": "look", "AimUs": 0, "DeadlineUs": 1, "Effect": "idempotent"}]}, "AimUs"),
-        ({"Categories": [{"Name": "look", "AimUs": 1, "Effect": "idempotent"}]}, "DeadlineUs"),
-        ({"Categories": [{"Name": "b", "AimUs": 1, "DeadlineUs": 1, "Effect": "deduplicated"}]}, "Group"),
-        ({"Goal": {"Tail": -1}}, "Goal.Tail"),
-        ({"Allowed": {"ConnIdleUs": -1}}, "ConnIdleUs"),
-        ({"Balancers": 0}, "Balancers"),
-        ({"Balancers": "two"}, "Balancers"),
-        ({"Layer": 2}, "Tiers"),
-        ({"Allowed": {"MaxAttempts": 0}}, "MaxAttempts"),
-        ({"Rules": {"ColdFrom": 0}}, "ColdFrom"),
-        ({"Parties": [{"Name": "a", "QuotaPerS": -1}]}, "QuotaPerS"),
-        ({"Discovery": "guess"}, "Discovery"),
-    ],
-)
-def test_impossible_settings_name_their_key(changes: dict[str, Any], key: str) -> None:
-    with pytest.raises(ValueError, match=key):
-        read_settings(setup(**changes))
