--- a/corkdoor/sidecar/clients/connection.py
+++ b/corkdoor/sidecar/clients/connection.py
@@ -15,7 +15,7 @@
 from corkdoor.sidecar.clients.read_flow import ReadFlow
 from corkdoor.sidecar.clients.request_parser import RequestParser
 from corkdoor.sidecar.clients.responses import encode_response
-from corkdoor.sidecar.clients.states import CLIENT_STATES, OUTPUT_STATES, ClientState, OutputState
+from corkdoor.sidecar.clients.states import CLIENT_TRANSITIONS, OUTPUT_TRANSITIONS, ClientState, OutputState
 from corkdoor.sidecar.clock import now_us
 from corkdoor.sidecar.invariants import Invariant
 from corkdoor.sidecar.proxied_request import ProxiedRequest
@@ -211,7 +211,7 @@
             self.answer(HTTPStatus.INTERNAL_SERVER_ERROR, [], b"")
             return
         if self._client_state is NEW:
-            self._client_state = CLIENT_STATES.check(self._client_state, ESTABLISHED)
+            self._client_state = CLIENT_TRANSITIONS.check(self._client_state, ESTABLISHED)
             self._server.clients.set_established(self)
         if request is not None:
             self.current_request = request
@@ -376,4 +376,4 @@
         return is_stalled or phase_s > longest_s
 
     def _set_output_state(self, state: OutputState) -> None:
-        self._output_state = OUTPUT_STATES.check(self._output_state, state)
+        self._output_state = OUTPUT_TRANSITIONS.check(self._output_state, state)
--- a/corkdoor/sidecar/clients/request_parser.py
+++ b/corkdoor/sidecar/clients/request_parser.py
@@ -10,7 +10,7 @@
 from corkdoor.sidecar.clients.backlog import PARSE_CHUNK_BYTES, IncomingRequest
 from corkdoor.sidecar.clients.body_reservation import BodyReservation
 from corkdoor.sidecar.clients.errors import HTTPError
-from corkdoor.sidecar.clients.states import INPUT_STATES, InputState
+from corkdoor.sidecar.clients.states import INPUT_TRANSITIONS, InputState
 from corkdoor.sidecar.http_fields import OPTIONAL_WHITESPACE
 
 MAX_BODY_BYTES = 64 * 1024
@@ -106,19 +106,19 @@
         if self.has_ended:
             return
         ending = TRUNCATED if self.is_receiving else ENDED
-        self.state = INPUT_STATES.check(self.state, ending)
+        self.state = INPUT_TRANSITIONS.check(self.state, ending)
         self._body = bytearray()
 
     def close(self) -> None:
         """The connection has ended: let go of the sink, which points back here."""
         self.end()
         if self.state is not CLOSED:
-            self.state = INPUT_STATES.check(self.state, CLOSED)
+            self.state = INPUT_TRANSITIONS.check(self.state, CLOSED)
         self._parser = self._sink = self._error = None
 
     def on_message_begin(self) -> None:
         """A request begins."""
-        self.state = INPUT_STATES.check(self.state, HEAD)
+        self.state = INPUT_TRANSITIONS.check(self.state, HEAD)
         self._head_bytes = self._unfinished_head_bytes = 0
         if self._sink is not None:
             self._sink.on_request_begin()
@@ -140,7 +140,7 @@
 
     def on_headers_complete(self) -> None:
         """The head is complete."""
-        self.state = INPUT_STATES.check(self.state, BODY)
+        self.state = INPUT_TRANSITIONS.check(self.state, BODY)
         if self._parser is not None and self._parser.get_http_version() not in HTTP_VERSIONS:
             self._fail(HTTPStatus.BAD_REQUEST, "HTTP/1.0 or 1.1 only")
         for name, value in self._headers:
@@ -164,7 +164,7 @@
         parser = self._parser
         if parser is None or self._sink is None:
             return
-        self.state = INPUT_STATES.check(self.state, IDLE)
+        self.state = INPUT_TRANSITIONS.check(self.state, IDLE)
         keep_alive = parser.should_keep_alive() and not parser.should_upgrade()
         method, body = parser.get_method(), bytes(self._body)
         request = IncomingRequest(method, self._target, self._headers, body, keep_alive, self._arrived_us)
--- a/corkdoor/sidecar/clients/server.py
+++ b/corkdoor/sidecar/clients/server.py
@@ -12,7 +12,7 @@
 from corkdoor.sidecar.clients.connection import ClientConnection
 from corkdoor.sidecar.clients.errors import HTTPError
 from corkdoor.sidecar.clients.registry import ClientRegistry
-from corkdoor.sidecar.clients.states import SERVER_STATES, ServerState
+from corkdoor.sidecar.clients.states import SERVER_TRANSITIONS, ServerState
 from corkdoor.sidecar.clients.timeouts import ClientTimeouts
 from corkdoor.sidecar.clock import now_us
 from corkdoor.sidecar.config import Config
@@ -126,4 +126,4 @@
                 client.close(CloseReason.SHUTDOWN)
 
     def _set_state(self, state: ServerState) -> None:
-        self._state = SERVER_STATES.check(self._state, state)
+        self._state = SERVER_TRANSITIONS.check(self._state, state)
--- a/corkdoor/sidecar/clients/states.py
+++ b/corkdoor/sidecar/clients/states.py
@@ -52,7 +52,7 @@
     CLOSED = 4  # no connection is accepted
 
 
-INPUT_STATES = TransitionTable(
+INPUT_TRANSITIONS = TransitionTable(
     "client_input",
     {
         InputState.IDLE: frozenset((InputState.HEAD, InputState.ENDED)),
@@ -63,28 +63,28 @@
         InputState.CLOSED: frozenset(),
     },
 )
-OUTPUT_STATES = TransitionTable(
+OUTPUT_TRANSITIONS = TransitionTable(
     "client_output",
     {
         OutputState.FLOWING: frozenset((OutputState.BLOCKED,)),
         OutputState.BLOCKED: frozenset((OutputState.FLOWING,)),
     },
 )
-CLIENT_STATES = TransitionTable(
+CLIENT_TRANSITIONS = TransitionTable(
     "client",
     {
         ClientState.NEW: frozenset((ClientState.ESTABLISHED,)),
         ClientState.ESTABLISHED: frozenset(),
     },
 )
-READ_STATES = TransitionTable(
+READ_TRANSITIONS = TransitionTable(
     "client_read_flow",
     {
         ReadState.READING: frozenset((ReadState.PAUSED,)),
         ReadState.PAUSED: frozenset((ReadState.READING,)),
     },
 )
-SERVER_STATES = TransitionTable(
+SERVER_TRANSITIONS = TransitionTable(
     "server",
     {
         ServerState.SERVING: frozenset((ServerState.DRAINING,)),
--- a/corkdoor/sidecar/proxy.py
+++ b/corkdoor/sidecar/proxy.py
@@ -17,9 +17,11 @@
 from corkdoor.balancer import Balancer
 from corkdoor.log_events import LogEvent
 from corkdoor.model import DiscoveryMode, Outcome, Readiness, Timer, WatchEventKind
+from corkdoor.policy.discovery.connect_timeout import connect_timeout_s
 from corkdoor.sidecar.clock import Alarm, now_us
 from corkdoor.sidecar.config import Config, ConfigError
-from corkdoor.sidecar.discovery import DiscoveryWatcher, ResolvedEndpoint, connect_limit_s
+from corkdoor.sidecar.discovery.endpoint_list import ResolvedEndpoint
+from corkdoor.sidecar.discovery.watcher import DiscoveryWatcher
 from corkdoor.sidecar.invariants import Invariant, InvariantLog, Location, Sent, may_repeat
 from corkdoor.sidecar.proxied_request import ProxiedRequest
 from corkdoor.sidecar.resource_limits import ByteBudget
@@ -74,7 +76,7 @@
             config.discovery.host,
             config.discovery.port,
             config.known.generation,
-            connect_limit_s(settings),
+            connect_timeout_s(settings),
             self.on_list,
         )
         self.balancer = Balancer(settings, config.seed, self)
@@ -84,7 +86,7 @@
         self.balancer.start(now_us())
         self.on_list(WatchEventKind.CACHED, self.config.known.entries)
         if self.settings.discovery_mode is DiscoveryMode.PUSH:
-            self.watcher.turn(True)
+            self.watcher.start()
 
     def reload(self, config: Config) -> None:
         """Put another configuration in force, or raise ConfigError and change nothing."""
@@ -107,12 +109,12 @@
 
     def _follow_discovery(self, config: Config) -> None:
         """A live watch stays where it is: all sidecars may be told at once, and each new one costs a list."""
-        self.watcher.connect_s = connect_limit_s(config.settings)
+        self.watcher.connect_timeout_s = connect_timeout_s(config.settings)
         address = config.discovery
         if (address.host, address.port) != (self.watcher.host, self.watcher.port):
-            self.watcher.move(address.host, address.port)
+            self.watcher.change_address(address.host, address.port)
             if not self._tell(self.balancer.on_discovery_moved):
-                self.watcher.turn(True)
+                self.watcher.start()
 
     def version(self) -> str:
         """Which settings are in force, since when, and after how many changes."""
@@ -124,7 +126,7 @@
         up = self.upstream
         lines = [self.version(), f"open requests {len(self.requests)}, connections {up.open} of {up.most}"]
         lines.append(
-            f"{self._list_state()}, longest {self.balancer.discovery.freshness.longest_us / 1e6:.1f} s"
+            f"{self._list_state()}, longest {self.balancer.discovery.freshness.longest_age_us / 1e6:.1f} s"
         )
         for tally in (self.list_calls, self.tally, up.tally):
             lines.append(", ".join(f"{name} {count}" for name, count in sorted(tally.items())) or "-")
@@ -342,7 +344,10 @@
         Alarm(now_us() + delay_us, partial(self._tell, self.balancer.on_timer, timer))
 
     def watch_discovery(self, enabled: bool) -> None:
-        self.watcher.turn(enabled)
+        if enabled:
+            self.watcher.start()
+        else:
+            self.watcher.stop()
 
     def close_idle_connections(self, endpoint_id: str) -> None:
         self.upstream.close_idle(endpoint_id)
@@ -376,7 +381,7 @@
         if pool is None or form is WatchEventKind.CACHED:
             return
         since_us = self.balancer.discovery.freshness.breach_possible_since_us()
-        if pool.written_us > since_us:
+        if since_us is not None and pool.written_us > since_us:
             late_s = (pool.written_us - since_us) / 1e6
             detail = (
                 f"{pool.written} to {endpoint}, {late_s:.2f} s late if its change ({why}) was missed first"
@@ -389,5 +394,6 @@
         watcher, freshness = self.watcher, self.balancer.discovery.freshness
         return (
             f"list {watcher.generation} of {watcher.host}:{watcher.port}, untold for"
-            f" {freshness.age_us(now_us()) / 1e6:.2f} s, {freshness.failures} calls failed in a row"
+            f" {freshness.age_us(now_us()) / 1e6:.2f} s,"
+            f" {freshness.consecutive_failures} calls failed in a row"
         )
--- a/corkdoor/sidecar/transport/acceptor.py
+++ b/corkdoor/sidecar/transport/acceptor.py
@@ -12,7 +12,7 @@
 from corkdoor.sidecar.transport.errors import RESOURCE_SHORTAGE
 from corkdoor.sidecar.transport.readiness_watch import ReadinessWatch
 from corkdoor.sidecar.transport.socket_poller import INPUT, SocketPoller
-from corkdoor.sidecar.transport.states import LISTENER_STATES, ListenerState
+from corkdoor.sidecar.transport.states import LISTENER_TRANSITIONS, ListenerState
 from corkdoor.sidecar.transport.stream import StreamTransport
 from corkdoor.sidecar.transport.stream_protocol import StreamProtocol
 
@@ -63,7 +63,7 @@
         """Listen no more; connections that wait are reset by the kernel."""
         if self._state is ListenerState.CLOSED:
             return
-        self._state = LISTENER_STATES.check(self._state, ListenerState.CLOSED)
+        self._state = LISTENER_TRANSITIONS.check(self._state, ListenerState.CLOSED)
         self._stop_watching()
         self._socket.close()
 
--- a/corkdoor/sidecar/transport/sender.py
+++ b/corkdoor/sidecar/transport/sender.py
@@ -8,7 +8,7 @@
 
 from corkdoor.sidecar.transport.errors import MEMORY_SHORTAGE
 from corkdoor.sidecar.transport.readiness_watch import ReadinessWatch
-from corkdoor.sidecar.transport.states import SEND_STATES, WRITER_STATES, SendState, WriterState
+from corkdoor.sidecar.transport.states import SEND_TRANSITIONS, WRITER_TRANSITIONS, SendState, WriterState
 from corkdoor.sidecar.transport.stream_protocol import StreamProtocol
 
 if TYPE_CHECKING:
@@ -146,12 +146,12 @@
             self._transport.on_output_drained()
 
     def _pause_writer(self) -> None:
-        self._writer_state = WRITER_STATES.check(self._writer_state, PAUSED)
+        self._writer_state = WRITER_TRANSITIONS.check(self._writer_state, PAUSED)
         if self._protocol is not None:
             self._protocol.pause_writing()
 
     def _resume_writer(self) -> None:
-        self._writer_state = WRITER_STATES.check(self._writer_state, WRITABLE)
+        self._writer_state = WRITER_TRANSITIONS.check(self._writer_state, WRITABLE)
         if self._protocol is not None:
             self._protocol.resume_writing()
 
@@ -160,4 +160,4 @@
             self._transport.fail(error)
 
     def _set_state(self, state: SendState) -> None:
-        self._state = SEND_STATES.check(self._state, state)
+        self._state = SEND_TRANSITIONS.check(self._state, state)
--- a/corkdoor/sidecar/transport/states.py
+++ b/corkdoor/sidecar/transport/states.py
@@ -53,7 +53,7 @@
     CLOSED = 2
 
 
-TRANSPORT_STATES = TransitionTable(
+TRANSPORT_TRANSITIONS = TransitionTable(
     "stream_transport",
     {
         TransportState.OPEN: frozenset((TransportState.CLOSING, TransportState.CLOSED)),
@@ -61,7 +61,7 @@
         TransportState.CLOSED: frozenset(),
     },
 )
-RECEIVE_STATES = TransitionTable(
+RECEIVE_TRANSITIONS = TransitionTable(
     "stream_receiver",
     {
         ReceiveState.READING: frozenset((ReceiveState.PAUSED, ReceiveState.ENDED)),
@@ -69,7 +69,7 @@
         ReceiveState.ENDED: frozenset(),
     },
 )
-SEND_STATES = TransitionTable(
+SEND_TRANSITIONS = TransitionTable(
     "stream_sender",
     {
         SendState.OPEN: frozenset((SendState.ENDING, SendState.ENDED)),
@@ -77,14 +77,14 @@
         SendState.ENDED: frozenset(),
     },
 )
-WRITER_STATES = TransitionTable(
+WRITER_TRANSITIONS = TransitionTable(
     "stream_writer",
     {
         WriterState.WRITABLE: frozenset((WriterState.PAUSED,)),
         WriterState.PAUSED: frozenset((WriterState.WRITABLE,)),
     },
 )
-WATCH_STATES = TransitionTable(
+WATCH_TRANSITIONS = TransitionTable(
     "readiness_watch",
     {
         WatchState.OFF: frozenset((WatchState.WATCHING, WatchState.RETRYING)),
@@ -92,7 +92,7 @@
         WatchState.RETRYING: frozenset((WatchState.OFF,)),
     },
 )
-LISTENER_STATES = TransitionTable(
+LISTENER_TRANSITIONS = TransitionTable(
     "listener",
     {
         ListenerState.OPEN: frozenset((ListenerState.CLOSED,)),
--- a/emulator/breakdown.py
+++ b/emulator/breakdown.py
@@ -20,9 +20,10 @@
 from corkdoor import balancer
 from corkdoor.policy.buckets import TokenBuckets
 from corkdoor.sidecar import __main__ as program
-from corkdoor.sidecar import clock, discovery, proxy, upstream
+from corkdoor.sidecar import clock, proxy, upstream
 from corkdoor.sidecar.clients.connection import ClientConnection
 from corkdoor.sidecar.clients.server import Server
+from corkdoor.sidecar.discovery.client import DiscoveryClient
 from emulator.sidecar import VARIABLE
 
 # The step's name, its class, and its method.
@@ -47,7 +48,7 @@
     ("chore: check callers", ClientConnection, "check_timeouts"),
     ("chore: report", proxy.Proxy, "report"),
     ("list taken", proxy.Proxy, "on_list"),
-    ("watch", discovery.DiscoveryWatcher, "on_response"),
+    ("watch", DiscoveryClient, "on_response"),
 )
 
 
--- a/emulator/hollow.py
+++ b/emulator/hollow.py
@@ -29,7 +29,7 @@
 from corkdoor.settings_reader import read_settings
 from corkdoor.sidecar.clock import now_us
 from corkdoor.sidecar.config import Address, Config
-from corkdoor.sidecar.discovery import EndpointList, ResolvedEndpoint, read_endpoint_list
+from corkdoor.sidecar.discovery.endpoint_list import EndpointList, ResolvedEndpoint, read_endpoint_list
 from corkdoor.sidecar.proxy import Proxy
 from corkdoor.sidecar.resource_limits import ResourceLimits
 from emulator.discovery import Row
--- a/tests/sidecar_support.py
+++ b/tests/sidecar_support.py
@@ -21,7 +21,7 @@
 from corkdoor.sidecar.clients.server import Server
 from corkdoor.sidecar.clients.timeouts import ClientTimeouts
 from corkdoor.sidecar.config import Address, Config
-from corkdoor.sidecar.discovery import read_endpoint_list
+from corkdoor.sidecar.discovery.endpoint_list import read_endpoint_list
 from corkdoor.sidecar.proxy import Proxy
 from corkdoor.sidecar.resource_limits import ResourceLimits
 from corkdoor.sidecar.transport import states as transport_states
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -14,7 +14,7 @@
 from corkdoor.model import WatchEventKind
 from corkdoor.sidecar.clients.backlog import MAX_WAITING_REQUESTS
 from corkdoor.sidecar.clients.timeouts import ClientTimeouts
-from corkdoor.sidecar.discovery import read_endpoint_list
+from corkdoor.sidecar.discovery.endpoint_list import read_endpoint_list
 from corkdoor.sidecar.upstream import Connection
 from tests.sidecar_support import SETUP, Client, Sidecar, first_asked, read_message, row, run
 
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -11,7 +11,7 @@
 from corkdoor.model import WatchEventKind
 from corkdoor.sidecar.clients.connection import ClientConnection
 from corkdoor.sidecar.clock import Alarm
-from corkdoor.sidecar.discovery import read_endpoint_list
+from corkdoor.sidecar.discovery.endpoint_list import read_endpoint_list
 from corkdoor.sidecar.proxied_request import ProxiedRequest
 from corkdoor.sidecar.upstream import Attempt, Connection, Pool
 from tests.sidecar_support import Fake, Sidecar, row, run
