--- a/tests/sidecar_support.py
+++ b/tests/sidecar_support.py
@@ -10,14 +10,16 @@
 import socket
 import subprocess
 import sys
-from collections.abc import AsyncIterator, Coroutine
+from collections.abc import AsyncIterator, Callable, Coroutine
 from pathlib import Path
 from typing import Any
 
 import uvloop
 
+from corkdoor.model import WatchEventKind
 from corkdoor.settings_reader import read_settings
 from corkdoor.sidecar.clients import states as client_states
+from corkdoor.sidecar.clients.connection import ClientConnection
 from corkdoor.sidecar.clients.server import Server
 from corkdoor.sidecar.clients.timeouts import ClientTimeouts
 from corkdoor.sidecar.config import Address, Config
@@ -73,6 +75,15 @@
     "Tiers": ["one"],
 }
 
+# The head of a valid request, but for how its body is framed.
+REQUEST_HEAD = "POST /pay HTTP/1.1\r\nHost: a\r\nReq-Id: 1\r\nReq-Owner: acme\r\nReq-Deadline-Ms: 2000\r\n"
+
+
+async def wait_until(condition: Callable[[], object], interval_s: float = 0.01) -> None:
+    """Wait until the condition holds; the time limit of the test ends a wait for what never comes."""
+    while not condition():
+        await asyncio.sleep(interval_s)
+
 
 def run(test: Coroutine[Any, Any, None], patience_s: float = PATIENCE_S) -> None:
     """Run a test on the loop that the sidecar has in service."""
@@ -263,8 +274,61 @@
         assert [table.subject for table in STATE_TABLES if table.violations] == []
 
     async def client(self) -> Client:
+        """A client that is connected to it."""
         return Client(*await asyncio.open_connection("127.0.0.1", self.port))
 
+    def list_endpoints(self, *rows: dict[str, Any], generation: int = 2) -> None:
+        """Deliver a complete list of endpoints, as if discovery had answered with these rows."""
+        document = {"generation": generation, "reset": True, "instances": list(rows)}
+        self.proxy.on_list(WatchEventKind.FULL, read_endpoint_list(document).entries)
+
+    def list_all_endpoints(self) -> None:
+        """Deliver a complete list of all fake endpoints."""
+        self.list_endpoints(*(row(f"s-{i}", fake.address) for i, fake in enumerate(self.endpoints)))
+
+    def merge_arrivals(self) -> asyncio.Queue[Asked]:
+        """The requests that all endpoints get from here on, in one queue."""
+        queue: asyncio.Queue[Asked] = asyncio.Queue()
+        for fake in self.endpoints:
+            fake.asked = queue
+        return queue
+
+    def nothing_arrived(self) -> bool:
+        """Whether no endpoint has got a request that the test has not taken."""
+        return all(fake.asked.empty() for fake in self.endpoints)
+
+    async def serve_one(self, client: Client, class_name: str = "pay", **values: Any) -> Asked:
+        """Send one request, have the first endpoint answer it, and return what the endpoint got."""
+        client.send(class_name, **values)
+        received = await self.endpoints[0].next()
+        received.reply()
+        assert (await client.answer()).status == 200
+        return received
+
+    async def block_output(self, client: Client) -> ClientConnection:
+        """Leave responses unread until the sidecar stops serving the client; returns its connection."""
+        client.writer.transport.pause_reading()  # type: ignore[attr-defined]
+        connection = await self.connection_of(client)
+        while not connection.is_output_blocked:
+            await self.leave_response_unread(client, 65_000)
+        return connection
+
+    async def leave_response_unread(self, client: Client, size: int) -> None:
+        """Have a request answered with `size` bytes by a client that does not read."""
+        connection = await self.connection_of(client)
+        client.send(deadline_ms=60_000)
+        (await self.endpoints[0].next()).reply(200, b"x" * size)
+        await wait_until(lambda: connection.current_request is None, 0.001)
+
+    async def connection_of(self, client: Client) -> ClientConnection:
+        """The sidecar's end of a client's connection, once it has been accepted."""
+        port = client.writer.get_extra_info("sockname")[1]
+        while True:
+            for connection in self.server.clients:
+                if connection.peer_port() == port:
+                    return connection
+            await asyncio.sleep(0.001)
+
 
 def started(tmp_path: Path, changes: dict[str, Any], **variables: str) -> subprocess.Popen[str]:
     """The program as a process of its own, told by a file in `tmp_path` and by these variables."""
--- /dev/null
+++ b/tests/test_client_connections.py
@@ -0,0 +1,182 @@
+"""Limits on clients' connections: their number, memory and time, and who is closed first."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import os
+import socket
+from pathlib import Path
+
+import pytest
+
+from corkdoor.sidecar.clients.connection import ClientConnection
+from corkdoor.sidecar.clients.timeouts import ClientTimeouts
+from corkdoor.sidecar.clock import now_us
+from tests.sidecar_support import REQUEST_HEAD as HEAD
+from tests.sidecar_support import Client, Sidecar, program, ready, wait_until
+
+
+async def test_client_that_leaves_cancels_the_attempt() -> None:
+    async with Sidecar() as sidecar:
+        client = await sidecar.client()
+        client.send(deadline_ms=3_000_000)  # so that no attempt ends by time within the test
+        await sidecar.endpoints[0].next()
+        client.writer.close()
+        assert await sidecar.endpoints[0].ends.get() == 0
+        assert not sidecar.proxy.requests
+        assert not sidecar.proxy.balancer.requests
+
+
+@pytest.mark.parametrize("sent", ["", "POST /pay HT", HEAD, HEAD + "Content-Length: 9\r\n\r\nhalf"])
+async def test_client_that_never_completes_a_request_is_closed(sent: str) -> None:
+    """Whatever it has sent by then; a client that waits for its response is not idle meanwhile."""
+    timeouts = ClientTimeouts(first_request_s=0.1, check_interval_s=0.02)
+    async with Sidecar(timeouts=timeouts) as sidecar:
+        waiting = await sidecar.client()
+        waiting.send(deadline_ms=3_000_000)
+        received = await sidecar.endpoints[0].next()
+        client = await sidecar.client()
+        client.writer.write(sent.encode())
+        if sent.startswith("POST /pay HTTP"):
+            assert (await client.answer()).status == 408
+        await client.reader.read()  # a close, with the parser's own word before it or without
+        client.writer.close()
+        await wait_until(lambda: len(sidecar.server.clients) <= 1)
+        assert sidecar.proxy.budget.held_bytes == len(b"x")
+        received.reply()
+        assert (await waiting.answer()).status == 200
+
+
+async def test_idle_client_is_closed_in_the_end() -> None:
+    """Some ask once and keep their connection for good: without an end to that they add up."""
+    async with Sidecar(timeouts=ClientTimeouts(idle_s=0.1, check_interval_s=0.02)) as sidecar:
+        client = await sidecar.client()
+        assert await ready(client) == 200
+        assert await client.reader.read() == b""
+        assert not sidecar.server.clients
+
+
+async def test_clients_past_the_limit_evict_those_without_a_request_first() -> None:
+    """Not the one that connected first: that is likely a good one."""
+    async with Sidecar(clients=3) as sidecar:
+        good = await sidecar.client()
+        assert await ready(good) == 200
+        silent, younger = await sidecar.client(), await sidecar.client()
+        busy = await sidecar.client()
+        assert await silent.reader.read() == b""
+        busy.send()
+        received = await sidecar.endpoints[0].next()
+        assert await ready(younger) == 200
+        # All are in use or were lately: the new one has requested nothing and is closed at once.
+        extra = await sidecar.client()
+        assert await extra.reader.read() == b""
+        sidecar.server.clients.evictable_idle_s = 0.0
+        newest = await sidecar.client()
+        assert await good.reader.read() == b""  # the one idle longest
+        assert [await ready(newest), await ready(younger)] == [200, 200]
+        received.reply()
+        assert (await busy.answer()).status == 200
+
+
+@pytest.mark.parametrize("established", [False, True])
+async def test_client_whose_request_waits_in_the_kernel_is_not_evicted(
+    established: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Many may connect in one turn of the loop: the first sends its request before the last is accepted."""
+    async with Sidecar(clients=2, timeouts=ClientTimeouts(evictable_idle_s=0.0)) as sidecar:
+        with socket.create_connection(("127.0.0.1", sidecar.port)) as first:
+            if established:
+                first.sendall(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
+            clients = sidecar.server.clients
+            await wait_until(lambda: clients.idle_count if established else clients.new_count)
+            other = await sidecar.client()
+            if established:
+                assert await ready(other) == 200
+            add = clients.add
+
+            def send_and_add(connection: ClientConnection) -> None:
+                first.sendall(f"{HEAD}Content-Length: 1\r\n\r\nx".encode())
+                add(connection)
+
+            monkeypatch.setattr(clients, "add", send_and_add)
+            await sidecar.client()
+            assert await other.reader.read() == b""
+            (await sidecar.endpoints[0].next()).reply()
+            client = Client(*await asyncio.open_connection(sock=first.dup()))
+            for _ in range(1 + established):
+                assert (await client.answer()).status == 200
+
+
+async def test_bodies_past_the_memory_are_rejected_unsent() -> None:
+    async with Sidecar(held=1000) as sidecar:
+        first, second = await sidecar.client(), await sidecar.client()
+        first.send(body=b"x" * 700)
+        received = await sidecar.endpoints[0].next()
+        second.send(body=b"x" * 700)
+        answer = await second.answer()
+        assert (answer.status, answer.headers["retry-after"]) == (503, "1")
+        assert sidecar.proxy.serial == 1
+        received.reply()
+        assert (await first.answer()).status == 200
+        await sidecar.serve_one(first, body=b"x" * 700)
+        assert sidecar.proxy.budget.held_bytes == 0
+
+
+async def test_no_memory_behind_a_request_that_may_have_run_is_not_answered_503() -> None:
+    """The first answer on a connection is the first request's, and 503 promises that it never ran."""
+    async with Sidecar(held=1000) as sidecar:
+        client = await sidecar.client()
+        client.send("pay", body=b"x" * 700)
+        await sidecar.endpoints[0].next()
+        client.send("pay", body=b"x" * 700)
+        assert (await client.answer()).status == 500
+        assert sidecar.proxy.serial == 1
+
+
+async def test_client_that_reads_no_response_gets_no_more_of_them() -> None:
+    """They would pile up in this process."""
+    async with Sidecar(timeouts=ClientTimeouts(idle_s=0.2, check_interval_s=0.02)) as sidecar:
+        client = await sidecar.client()
+        client.writer.transport.pause_reading()  # type: ignore[attr-defined]
+        endpoint = sidecar.endpoints[0]
+        served = 0
+        with contextlib.suppress(TimeoutError):
+            while served < 400:
+                client.send()
+                (await asyncio.wait_for(endpoint.next(), 0.3)).reply(200, b"x" * 65_000)
+                served += 1
+        assert served < 400
+        await wait_until(lambda: not sidecar.server.clients)
+
+
+async def test_flood_of_connections_leaves_descriptors_for_the_rest(tmp_path: Path) -> None:
+    """Past its limit the process could neither accept nor reach an endpoint."""
+    sockets = 64
+
+    async with program(tmp_path, {"limits": {"sockets": sockets, "memory_mb": 64}}) as running:
+        most = 0
+        silent = []
+        for _ in range(2 * sockets):
+            silent.append(await running.client())
+            most = max(most, len(os.listdir(f"/proc/{running.process.pid}/fd")))
+        client = await running.client()
+        client.send()
+        (await running.endpoint.next()).reply()
+        assert (await client.answer()).status == 200
+        assert sockets / 2 < most <= sockets
+
+
+async def test_last_response_has_time_to_be_sent() -> None:
+    """The time to read it counts from when it was written, not from the request."""
+    async with Sidecar(timeouts=ClientTimeouts(linger_s=0.5, check_interval_s=0.01)) as sidecar:
+        client = await sidecar.client()
+        client.send(Connection="close")
+        received = await sidecar.endpoints[0].next()
+        connection = await sidecar.connection_of(client)
+        connection.phase_started_us -= 60_000_000
+        received.reply(200, b"x" * 60_000)
+        answer = await client.answer()
+        assert len(answer.body) == 60_000
+        assert now_us() - connection.phase_started_us < 10_000_000
+        assert await client.reader.read() == b""
--- a/tests/test_live_settings.py
+++ b/tests/test_live_settings.py
@@ -19,7 +19,6 @@
 from corkdoor.sidecar.resource_limits import ResourceLimits
 from corkdoor.sidecar.upstream import Connection, Upstream
 from tests.sidecar_support import SETUP, Client, Fake, Program, Sidecar, listing, program, ready, row, run
-from tests.test_crowding import arrivals
 
 NEW = {**SETUP["Categories"][0], "Name": "new"}
 LOOK, HOLD, PAY = SETUP["Categories"]
@@ -52,7 +51,7 @@
 
     async def test() -> None:
         async with Sidecar(endpoints=40) as sidecar:
-            queue = arrivals(sidecar)
+            queue = sidecar.merge_arrivals()
             clients = [await sidecar.client() for _ in range(200)]
             for client in clients:
                 client.send()
