--- a/corkdoor/policy/__init__.py
+++ b/corkdoor/policy/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions of a sidecar, one concern a module; `corkdoor/balancer.py` puts them together."""
+"""The rules of the balancer, one in each module; `corkdoor/balancer.py` joins them."""
--- /dev/null
+++ b/corkdoor/policy/admission.py
@@ -0,0 +1,97 @@
+"""Admission: what an arriving request costs, its priority, and whether it is rejected at once.
+
+Costs are in request units (RU). Under stress, which the latency ratio tells, low priorities cost more and are
+over their tenant's quota sooner. Only the outermost layer sheds load: inner requests carry work that was done
+already.
+"""
+
+from __future__ import annotations
+
+from corkdoor.policy.capacity_shortage import CapacityShortage
+from corkdoor.policy.client_timeouts import UsualTimeout
+from corkdoor.policy.latency_ratio import LatencyRatio
+from corkdoor.policy.priorities import Priorities
+from corkdoor.policy.rejections import RejectionReason
+from corkdoor.policy.request import Request
+from corkdoor.policy.request_queue import RequestQueue
+from corkdoor.policy.token_buckets import BASE_COST_RU
+from corkdoor.settings import Settings
+
+HINT_COST_RU_PER_US = 1e-5  # for each microsecond of the cost hint: a hint of 100 ms doubles the base cost
+MAX_STRESS_PENALTY = 3.0  # under full stress the lowest priority costs 1 + this
+TOO_LATE_SHARE = 0.5  # with less time left than this share of the median latency, a request is too late
+
+
+class Admission:
+    """Decides on arriving requests.
+
+    Attributes:
+        usual_timeouts: by class, what is learned of client timeouts.
+    """
+
+    def __init__(
+        self,
+        settings: Settings,
+        priorities: Priorities,
+        ratio: LatencyRatio,
+        queue: RequestQueue,
+        shortage: CapacityShortage,
+    ) -> None:
+        self._priorities = priorities
+        self._ratio = ratio
+        self._queue = queue
+        self._shortage = shortage
+        self.usual_timeouts: dict[str, UsualTimeout] = {}
+        self.configure(settings)
+
+    def configure(self, settings: Settings) -> None:
+        """Take the classes of the settings; what is known of the timeouts of those that stay is kept."""
+        self._outermost = settings.layer == 0
+        known = self.usual_timeouts
+        self.usual_timeouts = {c.name: known.get(c.name) or UsualTimeout() for c in settings.classes}
+
+    def assess(self, request: Request, cost_hint_us: int | None) -> float:
+        """Set a request's cost, quota state and priority; return its cost under the present stress, in RU."""
+        class_name = request.request_class.name
+        weight = self._priorities.weights[self._priorities.find(class_name, False)]
+        request.cost_ru = BASE_COST_RU + HINT_COST_RU_PER_US * (cost_hint_us or 0)
+        stressed_cost_ru = request.cost_ru * (1 + MAX_STRESS_PENALTY * self._ratio.stress() * (1 - weight))
+        request.over_quota = request.bucket.tokens_ru < stressed_cost_ru
+        request.priority = self._priorities.find(class_name, request.over_quota)
+        return stressed_cost_ru
+
+    def reject_on_arrival(self, now_us: int, request: Request, timeout_us: int) -> RejectionReason | None:
+        """Return why the request is rejected before anything is tried, or None."""
+        age_us = self._age_us(request, timeout_us)
+        if timeout_us <= 0:
+            return RejectionReason.EXPIRED
+        if not request.request_class.late_answer_value and self._is_too_late(now_us, request, age_us):
+            return RejectionReason.TOO_LATE
+        if not self._outermost:
+            return None
+        if request.over_quota and (self._ratio.stress() > 0 or self._shortage.is_short):
+            return RejectionReason.OVER_QUOTA
+        if self._queue.rejects_arrivals(now_us):
+            return RejectionReason.QUEUE_DELAY
+        return None
+
+    def _age_us(self, request: Request, timeout_us: int) -> int:
+        if not self._outermost:
+            return 0
+        request_class = request.request_class
+        return self.usual_timeouts[request_class.name].age_us(timeout_us, request_class.deadline_us)
+
+    @staticmethod
+    def _is_too_late(now_us: int, request: Request, age_us: int) -> bool:
+        """Bring forward when an answer loses its value, and return whether none can come by then."""
+        request.answer_by_us = min(request.answer_by_us, now_us + request.objective_us - age_us)
+        least_share = request.placement.local.limit.median * TOO_LATE_SHARE
+        return request.answer_by_us - now_us <= request.objective_us * least_share
+
+    def reject_unsent(self, request: Request) -> RejectionReason | None:
+        """Return why a request that found no capacity is rejected rather than queued, or None."""
+        if not self._outermost or not self._priorities.is_low(request.priority):
+            return None
+        if self._ratio.stress() > 0 or self._queue.count:
+            return RejectionReason.LOW_PRIORITY
+        return None
--- /dev/null
+++ b/corkdoor/policy/endpoint_choice.py
@@ -0,0 +1,89 @@
+"""Endpoint choice: the less loaded of two random members of the pool's subset ("power of two choices").
+
+A draw is repeated where the endpoint may not take the request: it was sent there before, its available share
+is used up by chance, its slow-start budget is empty, or a repeat there would not be safe. Load is this
+instance's attempts in flight over weight and available share, times the latency ratio to its peers.
+"""
+
+from __future__ import annotations
+
+import random
+
+from corkdoor.policy.availability import Availability
+from corkdoor.policy.endpoint_pool import EndpointPool
+from corkdoor.policy.endpoint_state import EndpointState
+from corkdoor.policy.request import Request
+from corkdoor.policy.retry_safety import may_resend
+from corkdoor.policy.slow_start import SlowStart
+from corkdoor.settings import Settings
+
+CHOICES = 2
+MAX_DRAWS = 8
+
+
+class EndpointChooser:
+    """Chooses the endpoint of each attempt."""
+
+    def __init__(
+        self, settings: Settings, slow_start: SlowStart, availability: Availability, rng: random.Random
+    ) -> None:
+        self._slow_start = slow_start
+        self._availability = availability
+        self._random = rng
+        self.configure(settings)
+
+    def configure(self, settings: Settings) -> None:
+        """Take the connect timeout of the settings."""
+        self._connect_timeout_us = settings.limits.connect_timeout_us
+
+    def choose(self, now_us: int, pool: EndpointPool, request: Request) -> EndpointState | None:
+        """Return an endpoint of the pool's subset for another attempt of the request, or None."""
+        members = pool.subset.members
+        count = len(members)
+        draw = self._random.random
+        best: EndpointState | None = None
+        best_load = 0.0
+        candidates = 0
+        for _ in range(MAX_DRAWS):
+            endpoint = members[int(draw() * count)]
+            if endpoint is best or (request.attempts and request.was_sent_to(endpoint)):
+                continue
+            load = self._load_if_usable(now_us, endpoint, pool, request)
+            if load is None:
+                continue
+            if best is None or load < best_load:
+                best, best_load = endpoint, load
+            candidates += 1
+            if candidates == CHOICES:
+                break
+        return best
+
+    def _load_if_usable(
+        self, now_us: int, endpoint: EndpointState, pool: EndpointPool, request: Request
+    ) -> float | None:
+        """Return the endpoint's load, or None where it may not take the request now."""
+        capacity_share = self._slow_start.capacity_share(now_us, endpoint)
+        share = self._availability.share_of_capacity(now_us, endpoint, capacity_share)
+        share *= request.placement.share_left(endpoint)
+        if share < 1.0 and self._random.random() >= share:
+            return None
+        if capacity_share < 1.0 and not self._slow_start.has_token(now_us, endpoint, pool, capacity_share):
+            return None
+        if request.first_run is not None and not self._may_resend(now_us, endpoint, request):
+            return None
+        load = (endpoint.in_flight + 1) / (endpoint.weight * share)
+        return load if endpoint.latency_ratio is None else load * endpoint.latency_ratio
+
+    def _may_resend(self, now_us: int, endpoint: EndpointState, request: Request) -> bool:
+        request_class = request.request_class
+        # An attempt leaves once its connection is up, which must be within the window too.
+        window_us = request_class.deduplication_window_us - self._connect_timeout_us
+        return may_resend(
+            request_class.idempotency,
+            request_class.deduplication_scope,
+            window_us,
+            request.first_run,
+            now_us,
+            endpoint.zone,
+            endpoint.cell,
+        )
--- /dev/null
+++ b/corkdoor/policy/endpoint_table.py
@@ -0,0 +1,96 @@
+"""The endpoint table: what discovery's lists say, and the pools that follow from it."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+
+from corkdoor.model import Endpoint, WatchEventKind
+from corkdoor.policy.departed_endpoints import DepartedEndpoints
+from corkdoor.policy.endpoint_state import EndpointState, OrderedEndpoints
+from corkdoor.policy.placements import PlacementTable
+from corkdoor.settings import Settings
+
+
+class EndpointTable:
+    """All endpoints that are listed, or that have attempts in flight.
+
+    Attributes:
+        by_id: the endpoints.
+        ready_count: how many are ready.
+    """
+
+    def __init__(self, settings: Settings, placements: PlacementTable, impaired: OrderedEndpoints) -> None:
+        self.by_id: dict[str, EndpointState] = {}
+        self.ready_count = 0
+        self._settings = settings
+        self._placements = placements
+        self._impaired = impaired
+        self._departed = DepartedEndpoints()
+        self._last_update_us: int | None = None  # the newest answer of discovery
+
+    def configure(self, settings: Settings) -> None:
+        """Take other settings: the zone, the placements and the slow-start rules may have changed."""
+        self._settings = settings
+        if not self.by_id:
+            return
+        for placement in self._placements.all():
+            for pool in placement.pools:
+                pool.endpoints = []
+        self.ready_count = 0
+        for endpoint in self.by_id.values():
+            self._add_to_pools(endpoint)
+            self._impaired[endpoint] = None
+        self._placements.resize_pools(settings)
+
+    def update(self, now_us: int, kind: WatchEventKind, entries: Sequence[Endpoint]) -> None:
+        """Take an endpoint list, or its changes."""
+        if kind is not WatchEventKind.DELTA:
+            self._remove_unlisted({entry.id for entry in entries})
+        for entry in entries:
+            self._update_entry(now_us, entry)
+        if kind is not WatchEventKind.CACHED:
+            self._last_update_us = now_us
+        self._placements.resize_pools(self._settings)
+
+    def _remove_unlisted(self, listed_ids: set[str]) -> None:
+        for endpoint in [known for known in self.by_id.values() if known.id not in listed_ids]:
+            self._remove_from_pools(endpoint)
+            endpoint.ready = False
+            self.forget_unused(endpoint)
+
+    def _update_entry(self, now_us: int, entry: Endpoint) -> None:
+        endpoint = self.by_id.get(entry.id)
+        if endpoint is None:
+            start = self._departed.pop(entry.id)
+            endpoint = EndpointState(entry, start, self._last_update_us, now_us)
+            self.by_id[entry.id] = endpoint
+        else:
+            self._remove_from_pools(endpoint)  # before the update: its zone or type may change
+            endpoint.update(entry, self._last_update_us, now_us)
+        self._add_to_pools(endpoint)
+        self._impaired[endpoint] = None  # it may be warming up
+        self.forget_unused(endpoint)
+
+    def _add_to_pools(self, endpoint: EndpointState) -> None:
+        if not endpoint.ready:
+            return
+        self.ready_count += 1
+        for placement in self._placements.all():
+            if placement.allows(endpoint):
+                placement.pool_of(endpoint, self._settings.zone).add(endpoint)
+
+    def _remove_from_pools(self, endpoint: EndpointState) -> None:
+        if not endpoint.ready:
+            return
+        self.ready_count -= 1
+        for placement in self._placements.all():
+            if placement.allows(endpoint):
+                placement.pool_of(endpoint, self._settings.zone).remove(endpoint)
+
+    def forget_unused(self, endpoint: EndpointState) -> None:
+        """Forget an endpoint that is not ready and has no attempt in flight: ids may be ever new."""
+        if endpoint.ready or endpoint.in_flight or self.by_id.get(endpoint.id) is not endpoint:
+            return
+        del self.by_id[endpoint.id]
+        self._impaired.pop(endpoint, None)
+        self._departed.add(endpoint)
--- a/corkdoor/policy/idle_connections.py
+++ b/corkdoor/policy/idle_connections.py
@@ -1,43 +1,91 @@
-"""Which connections have been idle too long to be trusted."""
+"""Idle connections: how long a connection may be idle before it is closed rather than used.
+
+Guards against network devices that drop idle connections without notice: what is sent on one is never
+answered. The share of unanswered attempts is learned by idle time; where it is far above that of fresh
+connections, idle ones are closed first.
+"""
 
 from __future__ import annotations
 
-IDLE_FROM_US = 500_000  # idle times are told apart by doublings from here
-IDLE_STEPS = 5  # below that, and four doublings
-SILENT_WEIGHT = 0.1  # weight of the newest attempt in the silent share of its idle time
-SILENT_EXCESS = 0.15  # share by which idle connections must be more often silent than fresh ones to be closed
-IDLE_SAMPLES = 5  # attempts before a share says anything
-IDLE_TRIES = 0.1  # part of those taken for dead that is tried all the same: trouble ends unannounced
+import random
+
+from corkdoor.interface import Actions
+from corkdoor.model import Outcome
+from corkdoor.policy.endpoint_state import EndpointState
+from corkdoor.policy.retry_safety import NEVER_RAN, UNANSWERED
+
+MIN_IDLE_US = 500_000  # idle times are told apart by doublings from here
+FRESH = 5  # the step of new connections; those below are idle times, the shortest first
+UNANSWERED_WEIGHT = 0.1  # weight of the newest attempt in the unanswered share of its step
+MAX_EXCESS = 0.15  # by which idle connections may be unanswered more often than others
+MIN_SAMPLES = 5  # attempts before a share says anything
+PROBE_SHARE = 0.1  # of the connections that would be closed, those used all the same: faults end unannounced
+FRESH_PROBE_SHARE = 0.5  # of the connections closed while nothing is known of fresh ones, to learn of those
+SILENCE_RATIO = 3.0  # an attempt counts as unanswered only after so many median latencies
 
 
 class IdleConnections:
-    """Which connections have been idle too long to be trusted, learned from attempts that got no answer.
+    """Learns which idle connections to close.
 
-    Danger: something on the way drops idle connections unseen. What is sent on one waits out its whole try,
-    at any endpoint and for any class, so no endpoint looks ill; quiet copies are hit most.
+    Attributes:
+        closed_after_us: endpoints close connections that were idle for so long; 0: unknown.
+        unanswered_shares: the share of unanswered attempts, by step.
     """
 
-    def __init__(self, closed_us: int) -> None:
-        self.closed_us = closed_us  # 0: not told
-        # Silent shares, and attempts, by idle time; the last place is for fresh connections.
-        self.shares = [0.0] * (IDLE_STEPS + 1)
-        self.counts = [0] * (IDLE_STEPS + 1)
-
-    def step(self, idle_us: int) -> int:
-        if 0 < self.closed_us <= idle_us:
-            return IDLE_STEPS
-        return min((idle_us // IDLE_FROM_US).bit_length(), IDLE_STEPS - 1)
-
-    def learn(self, step: int, silent: bool) -> None:
-        self.counts[step] += 1
-        weight = max(SILENT_WEIGHT, 1 / self.counts[step])
-        self.shares[step] += weight * (silent - self.shares[step])
-
-    def dead(self, step: int, chance: float) -> bool:
-        """Whether connections idle for so long had better be closed first; `chance` is drawn from 0..1."""
-        if step == IDLE_STEPS or self.counts[step] < IDLE_SAMPLES or chance < IDLE_TRIES:
+    def __init__(self, closed_after_us: int, actions: Actions, rng: random.Random) -> None:
+        self.closed_after_us = closed_after_us
+        self.unanswered_shares = [0.0] * (FRESH + 1)
+        self._counts = [0] * (FRESH + 1)
+        self._actions = actions
+        self._random = rng
+
+    def prepare(self, now_us: int, endpoint: EndpointState) -> int:
+        """Close the idle connections to an endpoint without attempts in flight, if they are likely dead.
+
+        Returns:
+            The step of the connection that the next attempt takes.
+        """
+        step = FRESH if endpoint.last_used_us is None else self._step(now_us - endpoint.last_used_us)
+        if self._is_dead(step, self._random.random()):
+            self._actions.close_idle_connections(endpoint.id)
+            return FRESH
+        return step
+
+    def _step(self, idle_us: int) -> int:
+        if 0 < self.closed_after_us <= idle_us:
+            return FRESH
+        return min((idle_us // MIN_IDLE_US).bit_length(), FRESH - 1)
+
+    def _is_dead(self, step: int, chance: float) -> bool:
+        """Return whether connections of this step had better be closed; `chance` is drawn from 0 to 1."""
+        if step == FRESH or self._counts[step] < MIN_SAMPLES or chance < PROBE_SHARE:
+            return False
+        if self.unanswered_shares[step] <= MAX_EXCESS:
             return False
-        sound = [s for s, n in zip(self.shares, self.counts, strict=True) if n >= IDLE_SAMPLES]
-        if self.counts[IDLE_STEPS] < IDLE_SAMPLES:
-            sound.append(0.0 if chance < 0.5 else 1.0)  # half of them show how fresh ones fare
-        return self.shares[step] > min(sound) + SILENT_EXCESS
+        pairs = zip(self.unanswered_shares, self._counts, strict=True)
+        shares = [share for share, count in pairs if count >= MIN_SAMPLES]
+        if self._counts[FRESH] < MIN_SAMPLES:
+            shares.append(0.0 if chance < FRESH_PROBE_SHARE else 1.0)
+        return self.unanswered_shares[step] > min(shares) + MAX_EXCESS
+
+    def record(
+        self, step: int | None, outcome: Outcome, elapsed_us: int, median_share: float, objective_us: int
+    ) -> None:
+        """Learn from the outcome of an attempt on a connection of this step.
+
+        Args:
+            step: the step; None: unknown.
+            outcome: how the attempt ended.
+            elapsed_us: what it took.
+            median_share: the median latency of its pool, as a share of the objective.
+            objective_us: the latency objective of the request.
+        """
+        if step is None or outcome in NEVER_RAN:
+            return
+        unanswered = outcome in UNANSWERED
+        was_long = elapsed_us > SILENCE_RATIO * median_share * objective_us > 0
+        if unanswered and not was_long and outcome is not Outcome.RESET:
+            return
+        self._counts[step] += 1
+        weight = max(UNANSWERED_WEIGHT, 1 / self._counts[step])
+        self.unanswered_shares[step] += weight * (unanswered - self.unanswered_shares[step])
--- /dev/null
+++ b/corkdoor/policy/latency_histogram.py
@@ -0,0 +1,46 @@
+"""A histogram of latencies with buckets of even width on a logarithmic scale."""
+
+from __future__ import annotations
+
+import math
+
+BUCKETS_PER_DOUBLING = 4  # a bucket is 19% wide
+MIN_SHARE = 1 / 1024  # the shortest latency told apart, as a share of the latency objective
+BUCKET_COUNT = 64  # the longest is 64 times the objective
+
+
+def bucket_of(share: float) -> int:
+    """Return the bucket of a latency, given as a share of the latency objective."""
+    if share <= MIN_SHARE:
+        return 0
+    return min(int(math.log2(share / MIN_SHARE) * BUCKETS_PER_DOUBLING), BUCKET_COUNT - 1)
+
+
+class LatencyHistogram:
+    """Counts latencies, given as shares of the latency objective of their request class."""
+
+    __slots__ = ("counts", "total")
+
+    def __init__(self) -> None:
+        self.counts = [0] * BUCKET_COUNT
+        self.total = 0
+
+    def add(self, share: float) -> None:
+        """Count one latency."""
+        self.add_to_bucket(bucket_of(share))
+
+    def add_to_bucket(self, bucket: int) -> None:
+        """Count one latency whose bucket is known."""
+        self.counts[bucket] += 1
+        self.total += 1
+
+    def upper_quantile(self, share_above: float, older: LatencyHistogram | None = None) -> float:
+        """Return the latency that `share_above` of the samples, those of `older` included, lie above."""
+        remaining = share_above * (self.total + (older.total if older else 0))
+        bucket = BUCKET_COUNT - 1
+        while bucket > 0:
+            remaining -= self.counts[bucket] + (older.counts[bucket] if older else 0)
+            if remaining < 0:
+                break
+            bucket -= 1
+        return float(MIN_SHARE * 2 ** ((bucket + 0.5) / BUCKETS_PER_DOUBLING))
--- /dev/null
+++ b/corkdoor/policy/outlier_ejection.py
@@ -0,0 +1,117 @@
+"""Outlier ejection: endpoints that fail are sent nothing for a while, and then a growing share.
+
+An endpoint is ejected when its failure rate stands far above that of all endpoints, or when it rejects
+everything, as one does that shuts down before discovery says so.
+"""
+
+from __future__ import annotations
+
+import random
+
+from corkdoor.interface import Actions
+from corkdoor.model import Outcome
+from corkdoor.policy.endpoint_state import EndpointState, OrderedEndpoints
+from corkdoor.policy.endpoint_table import EndpointTable
+
+FAILURE_RATE_WEIGHT = 0.3  # weight of the newest outcome in an endpoint's failure rate
+TOTAL_FAILURE_RATE_WEIGHT = 0.02  # and in the failure rate of all endpoints
+EJECTION_FAILURE_RATE = 0.45  # two failures in a row pass it
+EJECTION_TOTAL_SHARE = (
+    0.5  # added to it: this share of the failure rate of all, so a shared fault ejects none
+)
+LEAVING_REJECTIONS = 3  # rejections in a row after which an endpoint is leaving rather than busy
+MAX_EJECTED_SHARE = 0.5  # of the ready endpoints
+EJECTION_US = 3_000_000  # the first ejection; each that follows closely doubles it
+MAX_EJECTION_US = 24_000_000
+FORGET_EJECTIONS_US = 4_000_000  # after so long in full use, ejections before it don't count
+MIN_JITTER = 0.75  # an ejection takes this share of its time
+JITTER_RANGE = 0.5  # and up to this much more, by chance
+RECOVERY_US = 4_000_000  # the recovery ramp after an ejection
+RECOVERY_INITIAL_SHARE = 0.15
+
+
+def recovery_share(now_us: int, ejected_until_us: int) -> float:
+    """Return the share of its requests that an endpoint may have during its ejection and after."""
+    since_us = now_us - ejected_until_us
+    if since_us >= RECOVERY_US:
+        return 1.0
+    if since_us < 0:
+        return 0.0
+    return RECOVERY_INITIAL_SHARE + (1 - RECOVERY_INITIAL_SHARE) * since_us / RECOVERY_US
+
+
+def is_leaving(endpoint: EndpointState) -> bool:
+    """Return whether the endpoint rejects everything, so that it is shutting down rather than busy."""
+    return endpoint.consecutive_rejections >= LEAVING_REJECTIONS
+
+
+class OutlierEjection:
+    """Follows failure rates, and ejects endpoints."""
+
+    def __init__(
+        self, endpoints: EndpointTable, impaired: OrderedEndpoints, actions: Actions, rng: random.Random
+    ) -> None:
+        self._endpoints = endpoints
+        self._impaired = impaired
+        self._actions = actions
+        self._random = rng
+        self._total_failure_rate = 0.0
+        self.ejected: list[EndpointState] = []  # and those on their recovery ramp
+
+    def record(self, now_us: int, endpoint: EndpointState, sent_us: int, outcome: Outcome) -> None:
+        """Take the outcome of an attempt that was sent at `sent_us`."""
+        if outcome is Outcome.REJECTED:
+            endpoint.consecutive_rejections += 1
+            if is_leaving(endpoint) and not endpoint.in_flight:
+                self._eject(now_us, endpoint, "rejects_attempts")
+            return
+        endpoint.consecutive_rejections = 0
+        failed = 0.0 if outcome is Outcome.OK else 1.0
+        self._total_failure_rate += TOTAL_FAILURE_RATE_WEIGHT * (failed - self._total_failure_rate)
+        # Guards against one pause that fails all attempts in flight: they count as one failure.
+        last_failure_us = endpoint.last_failure_us
+        if not failed or last_failure_us is None or sent_us >= last_failure_us:
+            endpoint.failure_rate += FAILURE_RATE_WEIGHT * (failed - endpoint.failure_rate)
+        if failed:
+            endpoint.last_failure_us = now_us
+            if (
+                endpoint.failure_rate
+                >= EJECTION_FAILURE_RATE + EJECTION_TOTAL_SHARE * self._total_failure_rate
+            ):
+                self._eject(now_us, endpoint, "failing")
+
+    def _eject(self, now_us: int, endpoint: EndpointState, reason: str) -> None:
+        if _is_ejected(now_us, endpoint) or not self._may_eject_another(now_us, endpoint):
+            return
+        self.ejected.append(endpoint)
+        self._impaired[endpoint] = None
+        endpoint.ejection_count = _next_ejection_count(now_us, endpoint)
+        duration_us = min(EJECTION_US * 2 ** (endpoint.ejection_count - 1), MAX_EJECTION_US)
+        duration_us = int(duration_us * (MIN_JITTER + JITTER_RANGE * self._random.random()))
+        endpoint.ejected_until_us = now_us + duration_us
+        endpoint.failure_rate = 0.0
+        self._actions.log_event(
+            "endpoint_ejected", endpoint=endpoint.id, duration_s=duration_us / 1e6, reason=reason
+        )
+
+    def _may_eject_another(self, now_us: int, endpoint: EndpointState) -> bool:
+        self.ejected = [
+            other
+            for other in self.ejected
+            if other is not endpoint
+            and other.ejected_until_us is not None
+            and now_us < other.ejected_until_us + RECOVERY_US
+        ]
+        ejected_count = sum(_is_ejected(now_us, other) for other in self.ejected)
+        return ejected_count + 1 <= MAX_EJECTED_SHARE * self._endpoints.ready_count
+
+
+def _is_ejected(now_us: int, endpoint: EndpointState) -> bool:
+    return endpoint.ejected_until_us is not None and now_us < endpoint.ejected_until_us
+
+
+def _next_ejection_count(now_us: int, endpoint: EndpointState) -> int:
+    if endpoint.ejected_until_us is None:
+        return 1
+    recovered_for_us = now_us - endpoint.ejected_until_us - RECOVERY_US
+    return endpoint.ejection_count + 1 if recovered_for_us < FORGET_EJECTIONS_US else 1
--- /dev/null
+++ b/corkdoor/policy/request.py
@@ -0,0 +1,133 @@
+"""A request that this instance owes an answer for, or has attempts in flight for."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
+from corkdoor.model import Outcome
+from corkdoor.policy.endpoint_pool import EndpointPool
+from corkdoor.policy.endpoint_state import EndpointState
+from corkdoor.policy.request_state import REQUEST_TRANSITIONS, RequestState
+from corkdoor.policy.retry_safety import NEVER_RAN, FirstRun
+from corkdoor.policy.token_buckets import TenantBucket
+from corkdoor.settings import RequestClass
+
+if TYPE_CHECKING:
+    from corkdoor.policy.placements import Placement
+
+MAX_ANSWER_MARGIN_US = 60_000  # a queued request is answered so long before its client gives up
+ANSWER_MARGIN_SHARE = 0.15  # but at most this share of its timeout
+
+
+@dataclass(slots=True)
+class Attempt:
+    """One attempt of a request.
+
+    Attributes:
+        endpoint: where it was sent.
+        sent_us: when it was sent.
+        pool: the pool whose limit it counts in.
+        idle_step: how long its connection was idle, as `IdleConnections` counts; None: unknown.
+    """
+
+    endpoint: EndpointState
+    sent_us: int
+    pool: EndpointPool
+    idle_step: int | None
+
+
+class Request:
+    """One request.
+
+    Attributes:
+        id: its id.
+        request_class: its class, by the settings in force when it arrived.
+        objective_us: the latency objective of this class.
+        placement: the endpoints that it may use.
+        bucket: the budget of its tenant.
+        arrived_us: when it arrived.
+        answer_by_us: until when an answer is worth something.
+        answer_margin_us: an answer out of the queue is given so long before that.
+        state: where it stands.
+        attempts: all attempts, by number.
+        outstanding: the numbers of those in flight.
+        first_run: the earliest attempt that may have run; None: none may have.
+        over_quota: whether its tenant was over its quota when it arrived.
+        priority: its rank among all requests; 0: the first to be sent.
+        cost_ru: its cost in request units.
+        charged_ru: what its tenant was charged for it on arrival.
+    """
+
+    __slots__ = (
+        "answer_by_us",
+        "answer_margin_us",
+        "arrived_us",
+        "attempts",
+        "bucket",
+        "charged_ru",
+        "cost_ru",
+        "first_run",
+        "id",
+        "objective_us",
+        "outstanding",
+        "over_quota",
+        "placement",
+        "priority",
+        "request_class",
+        "state",
+    )  # fmt: skip
+
+    def __init__(
+        self,
+        request_id: str,
+        request_class: RequestClass,
+        placement: Placement,
+        bucket: TenantBucket,
+        now_us: int,
+        timeout_us: int,
+    ) -> None:
+        self.id = request_id
+        self.request_class = request_class
+        self.objective_us = request_class.latency_objective_us
+        self.placement = placement
+        self.bucket = bucket
+        self.arrived_us = now_us
+        self.answer_by_us = now_us + timeout_us
+        self.answer_margin_us = min(MAX_ANSWER_MARGIN_US, max(0, int(ANSWER_MARGIN_SHARE * timeout_us)))
+        self.state = RequestState.NEW
+        self.attempts: list[Attempt] = []
+        self.outstanding: set[int] = set()
+        self.first_run: FirstRun | None = None
+        self.over_quota = False
+        self.priority = 0
+        self.cost_ru = 0.0
+        self.charged_ru = 0.0
+
+    @property
+    def answered(self) -> bool:
+        """Whether no answer is owed any more."""
+        return self.state is RequestState.ANSWERED or self.state is RequestState.CLOSED
+
+    def enter(self, state: RequestState) -> None:
+        """Change the state, if it is another one."""
+        if state is not self.state:
+            self.state = REQUEST_TRANSITIONS.check(self.state, state)
+
+    def add_attempt(self, attempt: Attempt) -> None:
+        """Note an attempt that is sent now."""
+        self.outstanding.add(len(self.attempts))
+        self.attempts.append(attempt)
+        self.enter(RequestState.IN_FLIGHT)
+
+    def was_sent_to(self, endpoint: EndpointState) -> bool:
+        """Return whether any attempt went to the endpoint."""
+        return any(attempt.endpoint is endpoint for attempt in self.attempts)
+
+    def end_attempt(self, number: int, outcome: Outcome) -> Attempt:
+        """Note the end of an attempt that was in flight, and return it."""
+        self.outstanding.discard(number)
+        attempt = self.attempts[number]
+        if outcome not in NEVER_RAN and (self.first_run is None or attempt.sent_us < self.first_run.sent_us):
+            self.first_run = FirstRun(attempt.sent_us, attempt.endpoint.zone, attempt.endpoint.cell)
+        return attempt
--- a/corkdoor/policy/request_queue.py
+++ b/corkdoor/policy/request_queue.py
@@ -1,144 +1,112 @@
-"""Requests that are owed an answer, and the queue of those that are held."""
+"""The request queue: requests that wait for capacity, the highest priority first.
+
+Its sojourn time is watched as in CoDel: where the oldest request of a priority has waited longer than the
+target for a whole interval, new requests are rejected until the queue is back below it or empty.
+"""
 
 from __future__ import annotations
 
 import heapq
 from collections import deque
+from typing import NamedTuple
+
+from corkdoor.policy.request import Request
+from corkdoor.policy.request_state import RequestState
+
+TARGET_SOJOURN_SHARE = 0.12  # the target sojourn time, as a share of the latency objective
+SOJOURN_INTERVAL_US = 200_000
+MAX_WAIT_SHARE_OUTERMOST = 0.35  # a request waits for this share of its objective at most
+MAX_WAIT_SHARE_INNER = 0.5  # longer in inner layers, whose rejections surface as failures
+
+
+class QueueTimeout(NamedTuple):
+    """When the wait of a queued request ends; `serial` orders those that end together."""
+
+    at_us: int
+    serial: int
+    request: Request
 
-from corkdoor.policy.buckets import TokenBuckets
-from corkdoor.policy.endpoints import EndpointState
-from corkdoor.policy.pools import Placement, Pool
-from corkdoor.settings import RequestClass
-
-SOJOURN_SHARE = 0.12  # target sojourn as a share of the aim
-SOJOURN_INTERVAL_US = 200_000  # sojourn above target for this long refuses arrivals
-ANSWER_MARGIN_US = 60_000  # a held call is answered this long before its try ends: early enough to be retried
-MARGIN_SHARE = 0.15  # but at most this share of the time that it came with
-TRY_VOTES = 50  # calls that must come with another time left before the usual one is taken to have changed
-
-
-class TryTime:
-    """The time left that most calls of one class come with: how long a try lasts. Others tell their age."""
-
-    def __init__(self) -> None:
-        self.usual = 0
-        self.votes = 0
-
-    def age(self, left: int, deadline: int) -> int:
-        """How long ago the client first asked, as far as the time left tells."""
-        if abs(left - self.usual) * 100 <= deadline:
-            self.votes = min(self.votes + 1, TRY_VOTES)
-            return 0
-        self.votes -= 1
-        if self.votes < 0:
-            self.usual, self.votes = left, 0
-            return 0
-        return max(0, deadline - left)
-
-
-class Request:
-    """One request that this instance owes an answer for, or has attempts out for."""
-
-    __slots__ = (
-        "answered",
-        "arrived",
-        "attempts",
-        "bucket",
-        "due",
-        "first_run",
-        "held_until",
-        "id",
-        "level",
-        "margin", "objective_us",
-        "outstanding",
-        "over",
-        "paid",
-        "placement",
-        "price",
-        "request_class",
-    )  # fmt: skip
-
-    def __init__(
-        self,
-        id: str,
-        request_class: RequestClass,
-        place: Placement,
-        now: int,
-        due: int,
-        bucket: TokenBuckets.Bucket,
-    ) -> None:
-        self.id = id
-        self.request_class = request_class  # this and the next stay, whatever replaces the settings
-        self.objective_us = request_class.latency_objective_us
-        self.placement = place
-        self.arrived = now
-        self.due = due  # until when an answer is worth something: the end of the try, or the aim before it
-        self.margin = min(ANSWER_MARGIN_US, max(0, int(MARGIN_SHARE * (due - now))))
-        self.attempts: list[tuple[EndpointState, int, Pool, int]] = []
-        self.outstanding: set[int] = set()
-        self.first_run: tuple[int, str, int] | None = None  # earliest attempt known to may have run
-        self.answered = False
-        self.held_until = 0  # 0: not held
-        self.level = 0
-        self.over = False  # whether its tenant was over its share
-        self.price = 0.0
-        self.paid = 0.0
-        self.bucket = bucket
-
-
-class HoldQueue:
-    """Calls past the cap, best worth first; long sojourn there refuses arrivals."""
-
-    def __init__(self, levels: int) -> None:
-        self.levels: list[deque[Request]] = [deque() for _ in range(levels)]
-        self.ends: list[tuple[int, int, Request]] = []
-        self.serial = 0
+
+class RequestQueue:
+    """The queued requests.
+
+    Attributes:
+        count: how many there are.
+    """
+
+    def __init__(self, priority_count: int, layer: int) -> None:
+        self._max_wait_share = MAX_WAIT_SHARE_INNER if layer else MAX_WAIT_SHARE_OUTERMOST
+        self._by_priority: list[deque[Request]] = [deque() for _ in range(priority_count)]
+        self._timeouts: list[QueueTimeout] = []
+        self._serial = 0
+        self._above_target_since_us: int | None = None
         self.count = 0
-        self.long_since = -1
-
-    def rank(self, levels: int) -> None:
-        """Line up the held calls by the levels that they have now, the longest held first."""
-        held = sorted((c for queue in self.levels for c in queue if c.held_until), key=lambda c: c.arrived)
-        self.levels = [deque() for _ in range(levels)]
-        for call in held:
-            self.levels[call.level].append(call)
-
-    def push(self, call: Request, until: int) -> None:
-        call.held_until = until
-        self.levels[call.level].append(call)
-        self.serial += 1
+
+    @property
+    def priority_count(self) -> int:
+        """How many priorities there are."""
+        return len(self._by_priority)
+
+    def reorder(self, priority_count: int) -> None:
+        """Line up the queued requests by priorities that have changed, in order of arrival."""
+        queued = [r for queue in self._by_priority for r in queue if r.state is RequestState.QUEUED]
+        queued.sort(key=lambda request: request.arrived_us)
+        self._by_priority = [deque() for _ in range(priority_count)]
+        for request in queued:
+            self._by_priority[request.priority].append(request)
+
+    def push(self, now_us: int, request: Request) -> bool:
+        """Queue a request; False where it has no time to wait."""
+        wait_us = int(self._max_wait_share * request.objective_us)
+        timeout_us = min(now_us + wait_us, request.answer_by_us - request.answer_margin_us)
+        if timeout_us <= now_us:
+            return False
+        request.enter(RequestState.QUEUED)
+        self._by_priority[request.priority].append(request)
+        self._serial += 1
         self.count += 1
-        heapq.heappush(self.ends, (until, self.serial, call))
+        heapq.heappush(self._timeouts, QueueTimeout(timeout_us, self._serial, request))
+        return True
 
-    def take(self, call: Request) -> None:
-        """The call leaves; its places in the queues are cleared when they come up."""
-        call.held_until = 0
+    def remove(self) -> None:
+        """Count out a request that is queued no more; its entries are dropped when they come up."""
         self.count -= 1
         if not self.count:
-            # An empty queue refuses nobody: arrivals refused for its past leave nobody to find it empty.
-            self.long_since = -1
+            # Guards against rejecting for a queue's past once it is empty.
+            self._above_target_since_us = None
 
-    def head(self, level: int) -> Request | None:
-        queue = self.levels[level]
-        while queue and not queue[0].held_until:
+    def head(self, priority: int) -> Request | None:
+        """Return the oldest queued request of a priority."""
+        queue = self._by_priority[priority]
+        while queue and queue[0].state is not RequestState.QUEUED:
             queue.popleft()
         return queue[0] if queue else None
 
-    def overdue(self, now: int) -> Request | None:
-        ends = self.ends
-        while ends and not ends[0][2].held_until:
-            heapq.heappop(ends)
-        return ends[0][2] if ends and ends[0][0] <= now else None
-
-    def watch(self, now: int) -> None:
-        """Follow how long the sojourn has stood above its target."""
-        for level in range(len(self.levels)):
-            call = self.head(level)
-            if call is not None and now - call.arrived > SOJOURN_SHARE * call.objective_us:
-                if self.long_since < 0:
-                    self.long_since = now
+    def timed_out(self, now_us: int) -> Request | None:
+        """Return a queued request whose wait has ended, or None."""
+        timeouts = self._timeouts
+        while timeouts and timeouts[0].request.state is not RequestState.QUEUED:
+            heapq.heappop(timeouts)
+        return timeouts[0].request if timeouts and timeouts[0].at_us <= now_us else None
+
+    def update_sojourn(self, now_us: int) -> None:
+        """Follow since when the sojourn time is above its target."""
+        for priority in range(len(self._by_priority)):
+            request = self.head(priority)
+            if request is None:
+                continue
+            if now_us - request.arrived_us > TARGET_SOJOURN_SHARE * request.objective_us:
+                if self._above_target_since_us is None:
+                    self._above_target_since_us = now_us
                 return
-        self.long_since = -1
+        self._above_target_since_us = None
+
+    def rejects_arrivals(self, now_us: int) -> bool:
+        """Return whether the sojourn time was above its target for a whole interval."""
+        since_us = self._above_target_since_us
+        return since_us is not None and now_us - since_us >= SOJOURN_INTERVAL_US
 
-    def refusing(self, now: int) -> bool:
-        return self.long_since >= 0 and now - self.long_since >= SOJOURN_INTERVAL_US
+    def longest_wait_us(self, now_us: int) -> int:
+        """Return how long the oldest queued request has waited; 0 where none is queued."""
+        heads = map(self.head, range(len(self._by_priority)))
+        return max((now_us - request.arrived_us for request in heads if request), default=0)
--- a/corkdoor/policy/retries.py
+++ b/corkdoor/policy/retries.py
@@ -1,22 +1,61 @@
-"""The budget of retries and second copies."""
+"""Retries: when another attempt follows one that ended without an answer, and the budget of such attempts."""
 
 from __future__ import annotations
 
-RETRY_SHARE = 0.1  # retries and second copies allowed for each first attempt
-RETRY_BURST = 5.0  # and this many more
+from corkdoor.model import Idempotency, Outcome
+from corkdoor.policy.request import Request
+from corkdoor.policy.retry_safety import NEVER_RAN
+from corkdoor.settings import Settings
+
+BUDGET_SHARE = 0.1  # retries and hedges for each first attempt
+MAX_BUDGET = 5.0  # and at most so many at once
+MAX_ATTEMPTS_OUTERMOST = 3
+MAX_ATTEMPTS_INNER = 2  # retries of several layers multiply
 
 
 class RetryBudget:
-    """Retries as a share of first attempts, so that trouble does not multiply the load."""
+    """Limits retries and hedges to a share of the first attempts: faults must not multiply the load."""
 
     def __init__(self) -> None:
-        self.tokens = RETRY_BURST
+        self.tokens = MAX_BUDGET
+
+    @property
+    def has_token(self) -> bool:
+        """Whether another retry or hedge is within the budget."""
+        return self.tokens >= 1.0
 
-    def earn(self) -> None:
-        self.tokens = min(RETRY_BURST, self.tokens + RETRY_SHARE)
+    def refill(self) -> None:
+        """Count a first attempt."""
+        self.tokens = min(MAX_BUDGET, self.tokens + BUDGET_SHARE)
 
-    def spend(self) -> bool:
+    def take(self) -> bool:
+        """Take the token of one retry or hedge; False where there is none."""
         if self.tokens < 1.0:
             return False
         self.tokens -= 1.0
         return True
+
+
+class RetryPolicy:
+    """Decides on retries."""
+
+    def __init__(self, settings: Settings, budget: RetryBudget) -> None:
+        self._budget = budget
+        self.configure(settings)
+
+    def configure(self, settings: Settings) -> None:
+        """Take the bound on attempts from the settings."""
+        own_limit = MAX_ATTEMPTS_INNER if settings.layer else MAX_ATTEMPTS_OUTERMOST
+        self._max_attempts = min(own_limit, settings.limits.max_attempts)
+
+    def allows(self, now_us: int, request: Request, outcome: Outcome) -> bool:
+        """Return whether the request may be retried after this outcome; that may take from the budget."""
+        unsafe = request.request_class.idempotency is Idempotency.NOT_IDEMPOTENT
+        if request.first_run is not None and unsafe:
+            return False
+        if len(request.attempts) >= self._max_attempts:
+            return False
+        if now_us >= request.answer_by_us - request.answer_margin_us:
+            return False
+        # What never ran made no load, so its retry is outside the budget.
+        return outcome in NEVER_RAN or self._budget.take()
--- a/corkdoor/policy/retry_safety.py
+++ b/corkdoor/policy/retry_safety.py
@@ -1,15 +1,29 @@
-"""When a request may be refused, and when it may be sent again (rule 2 of the protocol page)."""
+"""Retry safety: when a request may be rejected, and when another attempt may be sent.
+
+Rejecting promises that the request had no effect. A repeat of a request that may have run is safe where it is
+idempotent, or where the endpoint drops a repeat with the same idempotency key.
+"""
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 from corkdoor.model import DeduplicationScope, Idempotency, Outcome
 
 UNANSWERED = frozenset((Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED))
 NEVER_RAN = frozenset((Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT))
 
 
+class FirstRun(NamedTuple):
+    """The earliest attempt of a request that may have run: when it was sent, and where."""
+
+    sent_us: int
+    zone: str
+    cell: int
+
+
 def may_reject(idempotency: Idempotency, deduplication_scope: DeduplicationScope, may_have_run: bool) -> bool:
-    """Rule 2: whether `shed` is a legal answer; if not, only `surrender` is."""
+    """Return whether a request may be rejected; if not, it can only be answered as failed."""
     if not may_have_run or idempotency is Idempotency.IDEMPOTENT:
         return True
     return idempotency is Idempotency.WITH_KEY and deduplication_scope is DeduplicationScope.ALL
@@ -19,18 +33,28 @@
     idempotency: Idempotency,
     deduplication_scope: DeduplicationScope,
     window_us: int,
-    first: tuple[int, str, int] | None,
-    now: int,
-    to: tuple[str, int],
+    first_run: FirstRun | None,
+    now_us: int,
+    zone: str,
+    cell: int,
 ) -> bool:
-    """Rule 2: whether another attempt may go to an endpoint `to` (zone, cell).
-
-    `first` is the earliest attempt that may have run, as (sent at, zone, cell), or None.
+    """Return whether another attempt may go to an endpoint in this zone and cell.
+
+    Args:
+        idempotency: what a repeat of the request does.
+        deduplication_scope: which endpoints know each other's idempotency keys.
+        window_us: for how long they do.
+        first_run: the earliest attempt that may have run.
+        now_us: when the other attempt would be sent.
+        zone: the endpoint's zone.
+        cell: the endpoint's deduplication cell.
     """
-    if first is None or idempotency is Idempotency.IDEMPOTENT:
+    if first_run is None or idempotency is Idempotency.IDEMPOTENT:
         return True
-    if idempotency is Idempotency.NOT_IDEMPOTENT or now - first[0] > window_us:
+    if idempotency is Idempotency.NOT_IDEMPOTENT or now_us - first_run.sent_us > window_us:
         return False
     if deduplication_scope is DeduplicationScope.ALL:
         return True
-    return first[1] == to[0] if deduplication_scope is DeduplicationScope.ZONE else first[2] == to[1]
+    if deduplication_scope is DeduplicationScope.ZONE:
+        return first_run.zone == zone
+    return first_run.cell == cell
--- /dev/null
+++ b/corkdoor/policy/service_times.py
@@ -0,0 +1,40 @@
+"""The usual service time that endpoints report, as a share of the latency objective.
+
+Load reports carry service times. The usual one is a low quantile of the recent reports, with an upper bound,
+so that reports of overloaded endpoints don't raise it.
+"""
+
+from __future__ import annotations
+
+from corkdoor.policy.latency_histogram import LatencyHistogram
+from corkdoor.policy.latency_ratio import LONG_WINDOW_US, MIN_SAMPLES, READ_INTERVAL_US
+
+USUAL_SHARE_ABOVE = 0.75  # of the reported service times, those that lie above the usual one
+MAX_USUAL_SHARE = 0.1  # no service time past this share of the objective, divided by layer + 1, is usual
+
+
+class ServiceTimes:
+    """Follows the usual service time of all endpoints together."""
+
+    def __init__(self, layer: int, now_us: int) -> None:
+        self._max_usual = MAX_USUAL_SHARE / (layer + 1)
+        self.reset(now_us)
+
+    def reset(self, now_us: int) -> None:
+        """Forget all samples: they are shares of objectives that have changed."""
+        self.newer, self._older = LatencyHistogram(), LatencyHistogram()
+        self._window_end_us = now_us + LONG_WINDOW_US
+        self._next_read_us = now_us
+        self.usual = 0.0  # share of the objective; 0.0 before there are enough reports
+
+    def record(self, now_us: int, service_time_share: float) -> None:
+        """Count a reported service time, and compute the usual one when that is due."""
+        self.newer.add(service_time_share)
+        if now_us < self._next_read_us:
+            return
+        self._next_read_us = now_us + READ_INTERVAL_US
+        if now_us >= self._window_end_us:
+            self._window_end_us = now_us + LONG_WINDOW_US
+            self.newer, self._older = LatencyHistogram(), self.newer
+        if self.newer.total + self._older.total >= MIN_SAMPLES:
+            self.usual = min(self._max_usual, self.newer.upper_quantile(USUAL_SHARE_ABOVE, self._older))
--- a/corkdoor/sidecar/invariants.py
+++ b/corkdoor/sidecar/invariants.py
@@ -15,7 +15,7 @@
 from typing import NamedTuple
 
 from corkdoor.model import Idempotency, Outcome
-from corkdoor.policy.retry_safety import NEVER_RAN, may_resend
+from corkdoor.policy.retry_safety import NEVER_RAN, FirstRun, may_resend
 from corkdoor.settings import Limits, RequestClass
 
 HELD_UP_US = 150_000  # a process may be held up for so long between reading its clock and writing
@@ -107,7 +107,8 @@
         request_class.idempotency,
         request_class.deduplication_scope,
         window_us,
-        (first.at_us, *first.location),
+        FirstRun(first.at_us, *first.location),
         now_us,
-        (to.zone, to.cell),
+        to.zone,
+        to.cell,
     )
--- a/corkdoor/status.py
+++ b/corkdoor/status.py
@@ -1,39 +1,49 @@
-"""The module's state in one line, for a host's log. It decides nothing."""
+"""The balancer's state as fields of a log event."""
 
 from __future__ import annotations
 
+from collections.abc import Iterator
+
 from corkdoor.balancer import Balancer
-from corkdoor.policy.pools import Pool
+from corkdoor.policy.endpoint_pool import EndpointPool
 
-BUSIEST = 3  # endpoints of each pool that are named one by one
+BUSIEST_ENDPOINTS = 3  # of each pool, named one by one
 
 
 def state(balancer: Balancer, now_us: int) -> str:
-    """The state at `now_us`; refusals are those since the last call, which it forgets."""
-    heads = map(balancer.queue.head, range(len(balancer.worth)))
-    worst = max((now_us - call.arrived for call in heads if call), default=0)
-    parts = [
-        f"ratio {balancer.ratio.value:.2f} scarcity {balancer.scarcity:.2f} held {balancer.queue.count}"
-        f" sojourn {worst // 1000} ms retries {balancer.retries.tokens:.1f}"
-    ]
-    for placement in balancer.placements:
-        for name, pool in zip(("near", "far"), placement.pools, strict=True):
-            parts += _pool(balancer, name, pool, now_us)
-    parts += [f"bucket {n} {b.tokens:.1f} +{b.refill:.1f}/s" for n, b in balancer.buckets.buckets.items()]
-    parts += [f"refused {why} {n}" for why, n in sorted(balancer.refused.items())]
-    balancer.refused.clear()
-    return "; ".join(parts)
-
-
-def _pool(balancer: Balancer, name: str, pool: Pool, now_us: int) -> list[str]:
+    """Return the state at `now_us` as `key=value` pairs; rejections are those since the last call."""
+    return " ".join(_fields(balancer, now_us))
+
+
+def _fields(balancer: Balancer, now_us: int) -> Iterator[str]:
+    yield f"latency_ratio={balancer.ratio.value:.2f}"
+    yield f"capacity_shortage={balancer.shortage.rate:.2f}"
+    yield f"queued={balancer.queue.count}"
+    yield f"longest_wait_ms={balancer.queue.longest_wait_us(now_us) // 1000}"
+    yield f"retry_tokens={balancer.retry_budget.tokens:.1f}"
+    for index, placement in enumerate(balancer.placements):
+        yield from _pool_fields(balancer, f"placement.{index}.local", placement.local, now_us)
+        yield from _pool_fields(balancer, f"placement.{index}.remote", placement.remote, now_us)
+    for tenant, bucket in balancer.buckets.by_tenant.items():
+        yield f"tenant.{tenant or '-'}.tokens_ru={bucket.tokens_ru:.1f}"
+        yield f"tenant.{tenant or '-'}.refill_ru_per_s={bucket.refill_ru_per_s:.1f}"
+    counts = balancer.take_rejection_counts()
+    for reason in sorted(counts, key=lambda reason: reason.value):
+        yield f"rejected.{reason.value}={counts[reason]}"
+
+
+def _pool_fields(balancer: Balancer, prefix: str, pool: EndpointPool, now_us: int) -> Iterator[str]:
     limit = pool.limit
-    members = sorted(pool.subset.members, key=lambda e: (-e.in_flight, e.id))
-    return [
-        f"{name} {limit.in_flight}/{limit.open * limit.cap:.1f} of {len(members)}"
-        f" median {limit.median:.2f} base {limit.base:.2f}",
-        *(
-            f"{e.id} {e.in_flight} out slow {e.slow:.1f} crowd {e.crowd:.1f} failing {e.failing:.2f}"
-            f" part {balancer.part(now_us, e, balancer.warmth(now_us, e)):.2f}"
-            for e in members[:BUSIEST]
-        ),
-    ]
+    yield f"{prefix}.in_flight={limit.in_flight}"
+    yield f"{prefix}.limit={limit.available_share * limit.limit:.1f}"
+    yield f"{prefix}.subset={len(pool.subset.members)}"
+    yield f"{prefix}.median={limit.median:.2f}"
+    yield f"{prefix}.unloaded_median={limit.unloaded_median:.2f}"
+    busiest = sorted(pool.subset.members, key=lambda endpoint: (-endpoint.in_flight, endpoint.id))
+    for endpoint in busiest[:BUSIEST_ENDPOINTS]:
+        ratio = "-" if endpoint.latency_ratio is None else f"{endpoint.latency_ratio:.1f}"
+        yield (
+            f"{prefix}.endpoint={endpoint.id},in_flight:{endpoint.in_flight},latency_ratio:{ratio}"
+            f",load:{endpoint.load:.1f},failure_rate:{endpoint.failure_rate:.2f}"
+            f",available_share:{balancer.availability.share(now_us, endpoint):.2f}"
+        )
--- a/emulator/breakdown.py
+++ b/emulator/breakdown.py
@@ -18,7 +18,9 @@
 from typing import Any
 
 from corkdoor import balancer
-from corkdoor.policy.buckets import TokenBuckets
+from corkdoor.policy.availability import Availability
+from corkdoor.policy.endpoint_choice import EndpointChooser
+from corkdoor.policy.token_buckets import TokenBuckets
 from corkdoor.sidecar import __main__ as program
 from corkdoor.sidecar import clock, discovery, proxy, server, upstream
 from emulator.sidecar import VARIABLE
@@ -29,8 +31,8 @@
     ("admit", server.Server, "admit"),
     ("host take", proxy.Proxy, "take"),
     ("module order", balancer.Balancer, "on_request"),
-    ("module in-use sum", balancer.Balancer, "_in_use"),
-    ("module pick", balancer.Balancer, "_pick"),
+    ("module in-use sum", Availability, "pool_share"),
+    ("module pick", EndpointChooser, "choose"),
     ("module refill", TokenBuckets, "refill"),
     ("hand off", proxy.Proxy, "send_attempt"),
     ("take connection", upstream.Pool, "take"),
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -7,15 +7,21 @@
 
 import pytest
 
-from corkdoor.balancer import EJECT_US, QUIET_RISE
 from corkdoor.load_report import LoadReport, parse_load_report
 from corkdoor.model import Outcome, WatchEventKind
-from corkdoor.policy.buckets import TokenBuckets
-from corkdoor.policy.concurrency import CHANCE_ROOTS_OUTSIDE, GROW_CALLS_TOLD, START_CALLS, ConcurrencyLimit
-from corkdoor.policy.pools import Placement
+from corkdoor.policy.concurrency_limit import (
+    BURST_ROOTS_OUTERMOST,
+    MIN_GROWTH_WITH_REPORTS,
+    START_PER_ENDPOINT,
+    ConcurrencyLimit,
+)
+from corkdoor.policy.outlier_ejection import EJECTION_US
+from corkdoor.policy.placements import Placement
 from corkdoor.policy.request_queue import SOJOURN_INTERVAL_US
+from corkdoor.policy.token_buckets import TokenBuckets
+from corkdoor.policy.unresponsive import SILENCE_RATIO
 from corkdoor.settings import Costs, Limits, Objective
-from corkdoor.status import BUSIEST, state
+from corkdoor.status import BUSIEST_ENDPOINTS, state
 from tests.support import MS, SAFE, UNSAFE, Host, S, endpoints, settings
 
 
@@ -79,26 +85,26 @@
     """Found on simulated days: slow endpoints drew the cap down to its floor while the others sat idle."""
     for slow_in_ten, falls in ((2, False), (10, True)):
         limit = ConcurrencyLimit(0)
-        limit.size(2.0)
-        start = limit.cap
+        limit.resize(2.0)
+        start = limit.limit
         for i in range(400):
             late = i > 100 and i % 10 < slow_in_ten
-            limit.learn(i * 50 * MS, i * 50 * MS - 1, 0.9 if late else 0.1)
-        assert (limit.cap < start) is falls
-        assert limit.cap >= limit.floor
+            limit.record(i * 50 * MS, i * 50 * MS - 1, 0.9 if late else 0.1)
+        assert (limit.limit < start) is falls
+        assert limit.limit >= limit.min_limit
 
 
 def test_cap_judges_only_calls_sent_since_its_last_change() -> None:
     """Found on simulated days: late outcomes of calls sent before a cut brought the cap down to one call."""
     limit = ConcurrencyLimit(0)
-    limit.size(4.0)
+    limit.resize(4.0)
     for _ in range(100):
-        limit.learn(10 * S, 9 * S, 0.9)
-    once = limit.cap
-    assert limit.floor < once < 6.0 * 4.0
+        limit.record(10 * S, 9 * S, 0.9)
+    once = limit.limit
+    assert limit.min_limit < once < 6.0 * 4.0
     for _ in range(100):
-        limit.learn(11 * S, 9 * S, 0.9)
-    assert limit.cap == once
+        limit.record(11 * S, 9 * S, 0.9)
+    assert limit.limit == once
 
 
 def test_slow_answers_do_not_shrink_a_stated_quota() -> None:
@@ -108,13 +114,13 @@
     now, refused = 0, 0
     for i in range(3000):  # at its quota of 40 a second, each call taking 2 s
         now += 25 * MS
-        if now >= buckets.next_refill:
+        if now >= buckets.next_refill_us:
             buckets.refill(now)
-        small.heard = now
-        if i > 500 and small.tokens < 1.0:
+        small.last_request_us = now
+        if i > 500 and small.tokens_ru < 1.0:
             refused += 1
-        small.tokens -= 1.0
-        buckets.bill(small, 1.0, 1.0, 2 * S, True)
+        small.tokens_ru -= 1.0
+        buckets.charge_latency(small, 1.0, 1.0, 2 * S, True)
     assert refused == 0
 
 
@@ -124,11 +130,11 @@
     for paid in (1.0, 0.0):
         for _ in range(2000):
             now += 5 * MS
-            big.heard = now
-            buckets.bill(big, 1.0, paid, 0, True)
-            if now >= buckets.next_refill:
+            big.last_request_us = now
+            buckets.charge_latency(big, 1.0, paid, 0, True)
+            if now >= buckets.next_refill_us:
                 buckets.refill(now)
-        assert (big.refill > 150) is (paid > 0)
+        assert (big.refill_ru_per_s > 150) is (paid > 0)
 
 
 def drive_with_down(host: Host, down: set[str], calls: int, step_us: int) -> None:
@@ -155,7 +161,7 @@
 def test_endpoint_that_turns_calls_away_draws_few_and_does_not_cut_the_cap() -> None:
     """Found in an incident: one that drained took most of the sends and was counted as crowding."""
     host = Host(settings(instance_count=1), endpoints(4))
-    cap = host.balancer.placements[0].local.limit.cap
+    cap = host.balancer.placements[0].local.limit.limit
     leaving = endpoints(1)[0].id
     for _ in range(200):
         call = host.submit("pay")
@@ -168,7 +174,7 @@
         host.advance(10 * MS)
     late = [d[2] for d in host.sends()[-150:]]
     assert late.count(leaving) < 10
-    assert host.balancer.placements[0].local.limit.cap >= cap
+    assert host.balancer.placements[0].local.limit.limit >= cap
 
 
 def test_trouble_that_all_share_leaves_most_endpoints_in_use() -> None:
@@ -178,7 +184,7 @@
         host.advance(10 * MS)
         if host.sends(call):
             host.end_attempt(call, Outcome.ERROR)
-    out = [e for e in host.balancer.endpoints.values() if e.ejected_until > host.now]
+    out = [e for e in host.balancer.endpoints.values() if (e.ejected_until_us or 0) > host.now]
     assert len(out) <= 6
 
 
@@ -198,7 +204,7 @@
     host.advance(S)
     for call in calls:
         host.end_attempt(call, Outcome.TIMEOUT, spent=S)
-    assert all(e.ejected_until == 0 for e in host.balancer.endpoints.values())
+    assert all(e.ejected_until_us is None for e in host.balancer.endpoints.values())
 
 
 def warmed(class_name: str, layer: int = 0) -> Host:
@@ -257,10 +263,10 @@
         (1, 0.9, 0.0, 0.0),
     ):
         limit = ConcurrencyLimit(layer)
-        limit.size(0.2)
+        limit.resize(0.2)
         for i in range(60):
-            limit.learn(i * 50 * MS, i * 50 * MS - 1, 0.05 if i < 30 else share)
-        assert more <= limit.room(scarcity) - limit.cap < more + 1.2
+            limit.record(i * 50 * MS, i * 50 * MS - 1, 0.05 if i < 30 else share)
+        assert more <= limit.capacity(scarcity) - limit.limit < more + 1.2
 
 
 def test_over_share_calls_are_refused_while_calls_within_their_share_find_no_room() -> None:
@@ -378,8 +384,8 @@
         host = Host(settings(instance_count=40), endpoints(4))
         at_once = 0
         for _ in range(100):
-            host.balancer.placements[0].local.limit.slack = slack
-            host.balancer.scarcity = 0.0
+            host.balancer.placements[0].local.limit.headroom = slack
+            host.balancer.shortage.rate = 0.0
             call = host.submit()
             at_once += bool(host.sends(call))
             host.advance(S)
@@ -411,8 +417,8 @@
         host.submit(tenant="big")
     near = sum(send[2] == entries[0].id for send in host.sends())
     far = len(host.sends()) - near
-    assert near <= START_CALLS + CHANCE_ROOTS_OUTSIDE * math.sqrt(START_CALLS) + 1
-    assert far >= START_CALLS
+    assert near <= START_PER_ENDPOINT + BURST_ROOTS_OUTERMOST * math.sqrt(START_PER_ENDPOINT) + 1
+    assert far >= START_PER_ENDPOINT
 
 
 def sent_to(host: Host, endpoint: str, orders: int = 40) -> int:
@@ -428,15 +434,15 @@
     entries = endpoints(2)
     host = Host(settings(instance_count=1), entries)
     host.balancer.on_watch_event(host.now, WatchEventKind.FULL, entries[:1])
-    most = START_CALLS + CHANCE_ROOTS_OUTSIDE * math.sqrt(START_CALLS) + 1
-    assert START_CALLS <= sent_to(host, entries[0].id) <= most
+    most = START_PER_ENDPOINT + BURST_ROOTS_OUTERMOST * math.sqrt(START_PER_ENDPOINT) + 1
+    assert START_PER_ENDPOINT <= sent_to(host, entries[0].id) <= most
 
 
 def test_the_calls_of_a_cold_endpoint_do_not_fall_on_its_warm_peer() -> None:
     warm, cold = endpoints(1), endpoints(1, start=1, launched=1_000_000_000)
     host = Host(settings(instance_count=1), warm + cold)
-    cap = (2 + host.balancer.settings.lifecycle.slow_start_initial_share - 1) * START_CALLS
-    assert START_CALLS <= sent_to(host, warm[0].id) <= cap + CHANCE_ROOTS_OUTSIDE * math.sqrt(cap) + 1
+    cap = (2 + host.balancer.settings.lifecycle.slow_start_initial_share - 1) * START_PER_ENDPOINT
+    assert START_PER_ENDPOINT <= sent_to(host, warm[0].id) <= cap + BURST_ROOTS_OUTERMOST * math.sqrt(cap) + 1
 
 
 def serve_all(host: Host) -> None:
@@ -468,7 +474,7 @@
         crowd_by_report(host, "", 50)
         crowd_by_report(host, entries[0].id, service_ms)
         sent[service_ms] = sent_to(host, entries[0].id)
-        assert (host.balancer.placements[0].local.limit.open < 0.8) is (service_ms == 500)
+        assert (host.balancer.placements[0].local.limit.available_share < 0.8) is (service_ms == 500)
     assert sent[500] < 0.75 * sent[50]
 
 
@@ -505,10 +511,10 @@
             host.advance(20 * MS)
             host.end_attempt(call, Outcome.OK, spent=300 * MS)
     host.advance(int(2 * 300 * MS))
-    assert host.balancer.placements[0].local.limit.open == 1.0
-    host.advance(int(QUIET_RISE * 300 * MS))
+    assert host.balancer.placements[0].local.limit.available_share == 1.0
+    host.advance(int(SILENCE_RATIO * 300 * MS))
     assert sent_to(host, entries[0].id) <= 1
-    assert host.balancer.placements[0].local.limit.open <= 0.6
+    assert host.balancer.placements[0].local.limit.available_share <= 0.6
     waiting = next(
         c
         for c, call in host.balancer.requests.items()
@@ -516,7 +522,7 @@
     )
     host.end_attempt(waiting, Outcome.OK, spent=2 * S)
     host.submit()
-    assert host.balancer.placements[0].local.limit.open == 1.0
+    assert host.balancer.placements[0].local.limit.available_share == 1.0
 
 
 def test_a_small_cap_climbs_by_a_call_a_round_where_endpoints_report_crowds() -> None:
@@ -527,38 +533,39 @@
         host = Host(settings(instance_count=4), entries)
         limit = host.balancer.placements[0].local.limit
         load = LoadReport(0.0, 20.0, 50 * MS) if told else None
-        start = limit.cap
-        while limit.cap == start:
+        start = limit.limit
+        while limit.limit == start:
             calls = [host.submit(tenant="big") for _ in range(3)]
             host.advance(300 * MS)
             for call in [c for c in calls if c in host.sent and c in host.balancer.requests]:
                 host.end_attempt(call, Outcome.OK, spent=300 * MS, load=load)
-        grown[told] = limit.cap - start
+        grown[told] = limit.limit - start
     assert grown[False] < 0.5
-    assert grown[True] == GROW_CALLS_TOLD
+    assert grown[True] == MIN_GROWTH_WITH_REPORTS
 
 
 def test_a_part_that_comes_back_brings_back_its_calls() -> None:
     limit = ConcurrencyLimit(0)
     for part in (2.0, 1.0, 0.0, 2.0):
-        limit.size(part)
-    assert limit.cap == 2 * START_CALLS
+        limit.resize(part)
+    assert limit.limit == 2 * START_PER_ENDPOINT
 
 
 def test_the_report_tells_refusals_by_reason_once() -> None:
     host = Host(settings(), endpoints(1))
     call = host.submit(left=0)
     assert host.answers(call) == ["reject_request"]
-    assert "refused expired 1" in state(host.balancer, host.now)
-    assert "refused" not in state(host.balancer, host.now)
+    assert "rejected.expired=1" in state(host.balancer, host.now).split()
+    assert "rejected" not in state(host.balancer, host.now)
 
 
 def test_the_report_names_the_busiest_endpoints_with_the_part_that_they_may_have() -> None:
     host = Host(settings(), endpoints(1) + endpoints(6, "west", start=1, launched=1_000_000_000 - 1 * S))
     host.submit()
     line = state(host.balancer, host.now)
-    assert "10.0.0.0:80 1 out slow 0.0 crowd 1.0 failing 0.00 part 1.00" in line
-    assert line.count("part 0.28") == BUSIEST
+    busiest = "10.0.0.0:80,in_flight:1,latency_ratio:-,load:1.0,failure_rate:0.00,available_share:1.00"
+    assert f"placement.0.local.endpoint={busiest}" in line.split()
+    assert line.count("available_share:0.28") == BUSIEST_ENDPOINTS
 
 
 def test_classes_of_equal_worth_are_held_in_order_of_arrival() -> None:
@@ -577,28 +584,28 @@
 
 def crowd(limit: ConcurrencyLimit, share: float, rounds: int) -> None:
     """Rounds of outcomes that took this share of their aim, each sent after the last cut, the cap in use."""
-    now = limit.changed
+    now = limit.changed_us
     for _ in range(rounds):
         before = limit.round
-        limit.in_flight = math.ceil(limit.cap)
+        limit.in_flight = math.ceil(limit.limit)
         while limit.round is before:
             now += 1000
-            limit.learn(now, now, share)
+            limit.record(now, now, share)
 
 
 def test_a_pool_crowded_from_the_start_does_not_grow_past_its_idle_peer() -> None:
     """Found in service: 15 calls at the one near endpoint, five times slower than four idle far ones."""
     placement = Placement(SAFE, 1)
     near, far = placement.local.limit, placement.remote.limit
-    near.size(1.0)
-    far.size(0.25)
+    near.resize(1.0)
+    far.resize(0.25)
     crowd(far, 0.05, 1)
     crowd(near, 0.2, 4)
-    assert near.cap < START_CALLS
+    assert near.limit < START_PER_ENDPOINT
     alone = ConcurrencyLimit(1)
-    alone.size(1.0)
+    alone.resize(1.0)
     crowd(alone, 0.2, 4)
-    assert alone.cap > START_CALLS
+    assert alone.limit > START_PER_ENDPOINT
 
 
 def test_failures_of_long_ago_do_not_lengthen_an_ejection() -> None:
@@ -606,9 +613,9 @@
     host = Host(settings(instance_count=1), endpoints(6))
     ill = next(iter(host.balancer.endpoints.values()))
     for _ in range(4):
-        while ill.ejected_until <= host.now:
+        while (ill.ejected_until_us or 0) <= host.now:
             drive_with_down(host, {ill.id}, 1, 20 * MS)
-        assert ill.ejected_until - host.now <= 1.25 * EJECT_US
+        assert (ill.ejected_until_us or 0) - host.now <= 1.25 * EJECTION_US
         drive_with_down(host, set(), 1500, 20 * MS)
 
 
@@ -616,4 +623,4 @@
     host = Host(settings(instance_count=1), endpoints(6))
     ill = next(iter(host.balancer.endpoints.values()))
     drive_with_down(host, {ill.id}, 1500, 20 * MS)
-    assert ill.ejections > 1
+    assert ill.ejection_count > 1
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -12,8 +12,8 @@
 
 import pytest
 
-from corkdoor.balancer import Balancer
 from corkdoor.model import Endpoint, Outcome, Readiness, Timer, WatchEventKind
+from corkdoor.policy.slow_start import SlowStart
 from corkdoor.settings import LifecycleRules, Settings
 from tests.support import MS, SAFE, Host, S, settings
 
@@ -264,5 +264,5 @@
     happening: Happening, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The traffic is such that it could: what keeps the sum within the budget is the module."""
-    monkeypatch.setattr(Balancer, "warmth", lambda *_: 1.0)
+    monkeypatch.setattr(SlowStart, "capacity_share", lambda *_: 1.0)
     assert worst(happening, 1.2, COPIES, 0) > 1.0
--- a/tests/test_list_costs.py
+++ b/tests/test_list_costs.py
@@ -12,7 +12,7 @@
 from corkdoor.balancer import Balancer
 from corkdoor.load_report import LoadReport
 from corkdoor.model import Endpoint, Outcome, Readiness, WatchEventKind
-from corkdoor.policy.pools import subset_size
+from corkdoor.policy.endpoint_pool import subset_size
 from tests.support import MS, Host, S, endpoints, settings
 
 FEW, MANY = 200, 3200
@@ -81,10 +81,12 @@
                 outcome = draw.choice((Outcome.OK, Outcome.OK, Outcome.ERROR, Outcome.TIMEOUT))
                 report = LoadReport(draw.randrange(30), 10.0, draw.randrange(1, 2 * S))
                 host.end_attempt(call, outcome, attempt=max(balancer.requests[call].outstanding), load=report)
-        for pool in balancer.placement["look"].pools:
+        for pool in balancer.placement_table.by_class["look"].pools:
             if members := pool.subset.members:
-                parts = [balancer.part(host.now, e, balancer.warmth(host.now, e)) for e in members]
-                assert balancer._in_use(host.now, pool) == pytest.approx(sum(parts) / len(members), abs=1e-9)
+                parts = [balancer.availability.share(host.now, e) for e in members]
+                assert balancer.availability.pool_share(host.now, pool) == pytest.approx(
+                    sum(parts) / len(members), abs=1e-9
+                )
 
 
 @pytest.mark.parametrize(
--- a/tests/test_reconfigure.py
+++ b/tests/test_reconfigure.py
@@ -13,8 +13,8 @@
 
 from corkdoor.balancer import Balancer
 from corkdoor.model import DiscoveryMode, Endpoint, Idempotency, Outcome, Readiness, WatchEventKind
-from corkdoor.policy.concurrency import START_CALLS
-from corkdoor.policy.endpoints import EndpointState
+from corkdoor.policy.concurrency_limit import START_PER_ENDPOINT
+from corkdoor.policy.endpoint_state import EndpointState
 from corkdoor.settings import LifecycleRules, Limits, RequestClass, Settings, Tenant
 from tests.support import KEYED, MS, SAFE, UNSAFE, Host, S, endpoints, settings
 
@@ -115,10 +115,26 @@
 def test_caps_go_with_the_part_of_the_endpoints() -> None:
     host = Host(entries=endpoints(8))
     limit = host.balancer.placements[0].local.limit
-    limit.cap, limit.in_flight, limit.median, limit.base = 60.0, 3, 0.2, 0.1
+    limit.limit, limit.in_flight, limit.median, limit.unloaded_median = 60.0, 3, 0.2, 0.1
     reconfigure(host, instance_count=8)
     assert host.balancer.placements[0].local.limit is limit
-    assert (limit.cap, limit.in_flight, limit.median, limit.base) == (30.0, 3, 0.2, 0.1)
+    assert (limit.limit, limit.in_flight, limit.median, limit.unloaded_median) == (30.0, 3, 0.2, 0.1)
+
+
+def learned_state(balancer: Balancer) -> list[object]:
+    """What an instance has learned, down to the objects that a reset would replace."""
+    return [
+        balancer.endpoints,
+        balancer.ratio,
+        balancer.ratio._long,
+        balancer.service_times,
+        balancer.service_times.newer,
+        balancer.retry_budget,
+        balancer.idle_connections.unanswered_shares,
+        balancer.admission.usual_timeouts["look"],
+        balancer.ejection.ejected,
+        balancer._random,
+    ]
 
 
 def test_endpoints_connections_and_budgets_are_known_as_before() -> None:
@@ -126,33 +142,30 @@
     for _ in range(4):
         host.end_attempt(host.submit("pay"), Outcome.ERROR)
     balancer = host.balancer
-    kept = [balancer.endpoints, balancer.ratio, balancer.services, balancer.retries, balancer.idle.shares]
-    kept += [balancer.tries["look"], balancer.ejected, balancer.random]
-    failing = {e.id: e.failing for e in balancer.endpoints.values()}
+    kept = learned_state(balancer)
+    failing = {e.id: e.failure_rate for e in balancer.endpoints.values()}
     assert any(failing.values())
     limits = Limits(max_attempts=2, idle_connection_us=3 * S)
     reconfigure(host, classes=(SAFE, replace(KEYED, priority_weight=0.4), UNSAFE), limits=limits)
-    now = [balancer.endpoints, balancer.ratio, balancer.services, balancer.retries, balancer.idle.shares]
-    now += [balancer.tries["look"], balancer.ejected, balancer.random]
-    assert all(a is b for a, b in zip(kept, now, strict=True))
-    assert {e.id: e.failing for e in balancer.endpoints.values()} == failing
-    assert balancer.idle.closed_us == 3 * S
+    assert all(a is b for a, b in zip(kept, learned_state(balancer), strict=True))
+    assert {e.id: e.failure_rate for e in balancer.endpoints.values()} == failing
+    assert balancer.idle_connections.closed_after_us == 3 * S
 
 
 def test_halved_quota_keeps_the_tokens_that_still_fit() -> None:
     host = Host(entries=endpoints(4))
     for _ in range(5):
         host.submit(tenant="small")
-    big, small = (host.balancer.buckets.buckets[name] for name in ("big", "small"))
-    full, left, heard = big.tokens, small.tokens, small.heard
+    big, small = (host.balancer.buckets.by_tenant[name] for name in ("big", "small"))
+    full, left, heard = big.tokens_ru, small.tokens_ru, small.last_request_us
     halved = (Tenant("big", 0.6, 30.0), Tenant("small", 0.4, 20.0), Tenant("third", 0.1, 5.0))
     reconfigure(host, tenants=halved)
-    assert host.balancer.buckets.buckets["small"] is small
-    assert big.tokens == big.depth() < full
-    assert small.tokens == min(left, small.depth())
-    assert (small.quota, small.heard) == (5.0, heard)
-    third = host.balancer.buckets.buckets["third"]
-    assert third.tokens == third.depth()
+    assert host.balancer.buckets.by_tenant["small"] is small
+    assert big.tokens_ru == big.depth_ru() < full
+    assert small.tokens_ru == min(left, small.depth_ru())
+    assert (small.quota_per_s, small.last_request_us) == (5.0, heard)
+    third = host.balancer.buckets.by_tenant["third"]
+    assert third.tokens_ru == third.depth_ru()
 
 
 def test_call_of_a_tenant_that_is_gone_is_answered_and_its_bucket_is_not_kept() -> None:
@@ -161,16 +174,16 @@
     reconfigure(host, tenants=(Tenant("big", 1.0, 60.0),))
     host.end_attempt(call, Outcome.OK)
     assert call not in host.balancer.requests
-    assert list(host.balancer.buckets.buckets) == ["big"]
+    assert list(host.balancer.buckets.by_tenant) == ["big"]
 
 
 def test_calls_that_name_no_tenant_keep_their_bucket() -> None:
     plain = Settings(classes=(SAFE,))
     host = Host(plain, endpoints(2, zone=""))
     host.submit(tenant="")
-    bucket = host.balancer.buckets.buckets[""]
+    bucket = host.balancer.buckets.by_tenant[""]
     host.balancer.reconfigure(host.now, replace(plain, instance_count=2))
-    assert host.balancer.buckets.buckets[""] is bucket
+    assert host.balancer.buckets.by_tenant[""] is bucket
 
 
 @pytest.mark.parametrize("factor", [0.5, 1.0, 2.0])
@@ -187,17 +200,17 @@
 
     serve(100)
     limit = host.balancer.placements[0].local.limit
-    cap = limit.cap
-    assert limit.median and limit.base
+    cap = limit.limit
+    assert limit.median and limit.unloaded_median
     reconfigure(
         host,
         classes=(replace(SAFE, latency_objective_us=int(SAFE.latency_objective_us * factor)),),
         instance_count=1,
     )
     serve(100)
-    assert limit.cap >= cap
+    assert limit.limit >= cap
     assert host.balancer.ratio.stress() == 0
-    assert limit.base == pytest.approx(limit.median, rel=0.2)
+    assert limit.unloaded_median == pytest.approx(limit.median, rel=0.2)
 
 
 def test_second_copies_that_are_no_longer_allowed_are_not_sent() -> None:
@@ -207,7 +220,7 @@
         host.advance(50 * MS)
         host.answer_all(50 * MS)
     slow = host.submit(tenant="big")
-    assert host.balancer.copies
+    assert host.balancer.hedging.pending
     reconfigure(host, instance_count=1, limits=Limits(max_attempts=4, hedging_allowed=False))
     host.advance(S)
     assert len(host.sends(slow)) == 1
@@ -217,9 +230,9 @@
     host = Host(entries=endpoints(4))
     host.balancer.on_watch_event(host.now, WatchEventKind.DELTA, endpoints(1, start=9, launched=host.now))
     fresh = host.balancer.endpoints[endpoints(1, start=9)[0].id]
-    assert host.balancer.warmth(host.now + S, fresh) < 1.0
+    assert host.balancer.slow_start.capacity_share(host.now + S, fresh) < 1.0
     reconfigure(host, lifecycle=LifecycleRules(slow_start_us=S))
-    assert host.balancer.warmth(host.now + S, fresh) == 1.0
+    assert host.balancer.slow_start.capacity_share(host.now + S, fresh) == 1.0
 
 
 def test_another_zone_fills_the_pools_anew() -> None:
@@ -264,7 +277,7 @@
     if not started:
         host.balancer.start(host.now)
     host.balancer.on_watch_event(host.now, WatchEventKind.CACHED, endpoints(2))
-    assert host.balancer.placement["look"].local.limit.cap == START_CALLS * 2 / 4
+    assert host.balancer.placement_table.by_class["look"].local.limit.limit == START_PER_ENDPOINT * 2 / 4
     assert host.sends(host.submit())
 
 
@@ -417,25 +430,29 @@
 
     def reconfigure(self, chosen: Settings) -> None:
         balancer = self.host.balancer
-        tokens = {n: b.tokens for n, b in balancer.buckets.buckets.items()}
-        places = {(p.zones, p.machine_types): p for p in balancer.placement.values()}
+        tokens = {n: b.tokens_ru for n, b in balancer.buckets.by_tenant.items()}
+        places = {
+            (p.allowed_zones, p.allowed_machine_types): p for p in balancer.placement_table.by_class.values()
+        }
         fair = {
-            (key, i): (x.limit.fair, x.limit.cap) for key, p in places.items() for i, x in enumerate(p.pools)
+            (key, i): (x.limit.fair_share, x.limit.limit)
+            for key, p in places.items()
+            for i, x in enumerate(p.pools)
         }
         balancer.reconfigure(self.host.now, chosen)
         for tenant in chosen.tenants:
-            bucket = balancer.buckets.buckets[tenant.name]
+            bucket = balancer.buckets.by_tenant[tenant.name]
             if tenant.name in tokens:
-                assert bucket.tokens == min(tokens[tenant.name], bucket.depth())
-            assert bucket.depth() > 0 and bucket.tokens <= bucket.depth()
-        for placement in balancer.placement.values():
-            key = (placement.zones, placement.machine_types)
+                assert bucket.tokens_ru == min(tokens[tenant.name], bucket.depth_ru())
+            assert bucket.depth_ru() > 0 and bucket.tokens_ru <= bucket.depth_ru()
+        for placement in balancer.placement_table.by_class.values():
+            key = (placement.allowed_zones, placement.allowed_machine_types)
             assert places.get(key, placement) is placement
             for i, pool in enumerate(placement.pools):
                 before, cap = fair.get((key, i), (0.0, 0.0))
                 if before and cap:
-                    scaled = cap * pool.limit.fair / before
-                    assert pool.limit.cap == pytest.approx(max(scaled, pool.limit.floor))
+                    scaled = cap * pool.limit.fair_share / before
+                    assert pool.limit.limit == pytest.approx(max(scaled, pool.limit.min_limit))
         self.look()
 
     def finish(self) -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from corkdoor.model import DeduplicationScope, Endpoint, Idempotency, Outcome, Readiness, WatchEventKind
-from corkdoor.policy.retry_safety import NEVER_RAN, may_reject, may_resend
+from corkdoor.policy.retry_safety import NEVER_RAN, FirstRun, may_reject, may_resend
 from corkdoor.settings import Limits, RequestClass
 from tests.support import MS, SAFE, Host, S, endpoints, settings
 
@@ -147,8 +147,8 @@
     to: tuple[str, int],
     legal: bool,
 ) -> None:
-    assert may_resend(idempotency, deduplication_scope, 2 * S, (0, "east", 1), after, to) is legal
-    assert may_resend(idempotency, deduplication_scope, 2 * S, None, after, to) is True
+    assert may_resend(idempotency, deduplication_scope, 2 * S, FirstRun(0, "east", 1), after, *to) is legal
+    assert may_resend(idempotency, deduplication_scope, 2 * S, None, after, *to) is True
 
 
 @pytest.mark.parametrize("class_name", ["look", "hold", "pay"])
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -65,10 +65,10 @@
 def test_new_process_under_a_known_id_starts_with_a_clean_record() -> None:
     host = Host(settings(instance_count=1), endpoints(4))
     bad = endpoints(4)[0]
-    host.balancer.endpoints[bad.id].ejected_until = host.now + 9 * S
+    host.balancer.endpoints[bad.id].ejected_until_us = host.now + 9 * S
     again = bad._replace(started_us=host.now)
     host.balancer.on_watch_event(host.now, WatchEventKind.DELTA, [again])
-    assert host.balancer.endpoints[bad.id].ejected_until == 0
+    assert host.balancer.endpoints[bad.id].ejected_until_us is None
 
 
 def test_streamed_answer_belongs_to_the_client_from_its_start() -> None:
