--- a/corkdoor/balancer.py
+++ b/corkdoor/balancer.py
@@ -14,7 +14,7 @@
 from corkdoor.interface import Actions
 from corkdoor.load_report import LoadReport
 from corkdoor.model import DiscoveryMode, Endpoint, Outcome, Timer, WatchEventKind
-from corkdoor.policy.discovery_polling import DiscoveryPolling
+from corkdoor.policy.discovery.polling import DiscoveryPolling
 from corkdoor.policy.placements import Placement
 from corkdoor.policy.rejections import RejectionReason
 from corkdoor.policy.request import Attempt, Request
@@ -84,7 +84,7 @@
         self.rules.configure(now_us, previous, settings)
         self.discovery.configure(settings)
         if settings.discovery_mode is not previous.discovery_mode:
-            self.discovery.ask(now_us)
+            self.discovery.poll(now_us)
         if self.queue.count:
             self._dispatch(now_us)
 
@@ -98,24 +98,24 @@
     def on_watch_event(self, now_us: int, kind: WatchEventKind, endpoints: Sequence[Endpoint]) -> None:
         """Discovery, or a call to it, brought something."""
         if kind in FAILED_CALLS:
-            self.discovery.failed(now_us, kind)
+            self.discovery.on_failure(now_us, kind)
             return
         if kind is not WatchEventKind.CACHED:
-            self.discovery.told(now_us, bare=not endpoints)
+            self.discovery.on_answer(now_us, empty=not endpoints)
         self.rules.endpoint_table.update(now_us, kind, endpoints)
         if self.queue.count:
             self._dispatch(now_us)
 
     def on_discovery_moved(self, now_us: int) -> None:
         """Discovery has another address and has not been called there."""
-        self.discovery.moved(now_us)
+        self.discovery.on_address_changed(now_us)
 
     # --- timers ---
 
     def on_timer(self, now_us: int, timer: Timer) -> None:
         """A timer came due."""
         if timer is Timer.DISCOVERY_POLL:
-            self.discovery.woken(now_us)
+            self.discovery.on_timer(now_us)
         elif self._sweep_due_us is not None and now_us >= self._sweep_due_us:
             self._sweep_due_us = None
             self._sweep(now_us)
