--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -10,7 +10,8 @@
 
 import pytest
 
-from corkdoor.simulator import ProtocolError, SimulatorAdapter
+from corkdoor.simulator.adapter import SimulatorAdapter
+from corkdoor.simulator.errors import ProtocolError
 from tests.settings_documents import settings_document
 
 START = [
