--- a/corkdoor/simulator/parser.py
+++ b/corkdoor/simulator/parser.py
@@ -202,10 +202,9 @@
 
 def is_batch_end(line: str) -> bool:
     """Return whether a line ends its batch."""
-    name, space, _ = line.partition(" ")
-    if name == BATCH_END and space:
+    if line.startswith(f"{BATCH_END} "):
         raise ProtocolError(f"{BATCH_END} takes no values")
-    return name == BATCH_END
+    return line == BATCH_END
 
 
 def parse_message(line: str) -> messages.Message:
