--- a/corkdoor/sidecar/discovery.py
+++ b/corkdoor/sidecar/discovery.py
@@ -15,7 +15,9 @@
 from corkdoor.sidecar.bounds import Budget
 from corkdoor.sidecar.clock import UNIX_OFFSET_US, now_us
 from corkdoor.sidecar.stream import connect
-from corkdoor.sidecar.upstream import Connection, Response
+from corkdoor.sidecar.upstream.connection import Connection
+from corkdoor.sidecar.upstream.connection_state import RESPONSE_BEGUN, ConnectionState
+from corkdoor.sidecar.upstream.response import Response
 
 MAX_LIST = 2 << 20  # bytes of a list: some 200 for each endpoint
 PATIENCE_S = 2.0  # a call that does not wait may be late by so much: then it counts as told
@@ -167,7 +169,7 @@
     async def _ask(self) -> EndpointList:
         loop = asyncio.get_running_loop()
         self._asked_us = now_us()
-        if self._connection is None or self._connection.lost:
+        if self._connection is None or self._connection.closed:
             fresh = Connection(self, Budget(MAX_LIST), MAX_LIST)
             async with asyncio.timeout(min(self.connect_s, AGAIN_CONNECT_S) if self.lost else self.connect_s):
                 await connect(fresh, self.host, self.port)
@@ -194,7 +196,7 @@
     async def _whole(self, answer: asyncio.Future[Response], connection: Connection) -> Response:
         """The answer, once it has come whole; a watch may be silent for long, but not half way through."""
         while not (await asyncio.wait((answer,), timeout=STALL_S))[0]:
-            if 0 < connection.heard_us < now_us() - STALL_S * 1e6:
+            if connection.stalled_since(now_us() - int(STALL_S * 1e6)):
                 raise BrokenOff("a list stopped half way")
         return answer.result()
 
@@ -207,9 +209,10 @@
         if self._answer is not None and not self._answer.done():
             self._answer.set_result(response)
 
-    def on_lost(self, connection: Connection) -> None:
+    def on_lost(self, connection: Connection, last_state: ConnectionState) -> None:
         if self._answer is not None and not self._answer.done():
-            begun = connection.cut or connection.heard_us > 0
             self._answer.set_exception(
-                BrokenOff("a list broke off") if begun else ConnectionResetError("the connection ended")
+                BrokenOff("a list broke off")
+                if last_state in RESPONSE_BEGUN
+                else ConnectionResetError("the connection ended")
             )
--- a/corkdoor/sidecar/proxied_request.py
+++ b/corkdoor/sidecar/proxied_request.py
@@ -6,7 +6,7 @@
 
 from corkdoor.settings import RequestClass
 from corkdoor.sidecar.clock import Alarm, now_us
-from corkdoor.sidecar.upstream import Attempt
+from corkdoor.sidecar.upstream.attempt import Attempt
 
 ANSWER_MARGIN_US = 40_000  # an answer leaves this long before the client's deadline: its bytes take time too
 MARGIN_SHARE = 0.1  # but at most this share of the time that is left: of a short one much would be lost
--- a/corkdoor/sidecar/proxy.py
+++ b/corkdoor/sidecar/proxy.py
@@ -23,7 +23,9 @@
 from corkdoor.sidecar.discovery import DiscoveryWatcher, ResolvedEndpoint, connect_limit_s
 from corkdoor.sidecar.invariants import Invariant, InvariantLog, Location, Sent, may_repeat
 from corkdoor.sidecar.proxied_request import ProxiedRequest
-from corkdoor.sidecar.upstream import Attempt, Response, Upstream, load_of
+from corkdoor.sidecar.upstream.attempt import Attempt
+from corkdoor.sidecar.upstream.manager import PoolLimits, PoolManager
+from corkdoor.sidecar.upstream.response import Response, load_report
 from corkdoor.status import state
 
 log = logging.getLogger(__name__)
@@ -42,6 +44,11 @@
             raise ConfigError(f"{key}: {was} can't become {told} while the process runs")
 
 
+def _pool_limits(config: Config) -> PoolLimits:
+    limits = config.settings.limits
+    return PoolLimits(limits.idle_connection_us, limits.connect_timeout_us, config.bounds.endpoints)
+
+
 def _left_ms(request: ProxiedRequest) -> int:
     return (request.deadline_us - now_us()) // 1000
 
@@ -63,13 +70,7 @@
         self.listed = asyncio.Event()  # a list has named endpoints
         self.budget = Budget(config.bounds.held)  # for requests and answers alike
         self.invariants = InvariantLog()
-        self.upstream = Upstream(
-            settings.limits.idle_connection_us,
-            settings.limits.connect_timeout_us,
-            config.bounds.endpoints,
-            self.budget,
-            self.invariants,
-        )
+        self.upstream = PoolManager(_pool_limits(config), self.budget, self.invariants)
         self.watcher = DiscoveryWatcher(
             config.discovery.host,
             config.discovery.port,
@@ -94,9 +95,7 @@
             self.balancer.reconfigure(now_us(), settings)  # first: where it refuses, nothing has changed
             self.settings = settings
         self.budget.most = bounds.held
-        self.upstream.configure(
-            settings.limits.idle_connection_us, settings.limits.connect_timeout_us, bounds.endpoints
-        )
+        self.upstream.configure(_pool_limits(config))
         self._follow_discovery(config)
         if config.digest != self.config.digest:
             self.changes += 1
@@ -120,11 +119,14 @@
     def report(self) -> str:
         """What happened since the last report, and the state, in one line for those on call."""
         up = self.upstream
-        lines = [self.version(), f"open requests {len(self.requests)}, connections {up.open} of {up.most}"]
+        lines = [
+            self.version(),
+            f"open requests {len(self.requests)}, connections {up.open_connections} of {up.max_connections}",
+        ]
         lines.append(
             f"{self._list_state()}, longest {self.balancer.discovery.freshness.longest_us / 1e6:.1f} s"
         )
-        for tally in (self.list_calls, self.tally, up.tally):
+        for tally in (self.list_calls, self.tally, up.counters):
             lines.append(", ".join(f"{name} {count}" for name, count in sorted(tally.items())) or "-")
             tally.clear()
         return "; ".join([*lines, self.invariants.summary(), state(self.balancer, now_us())])
@@ -205,7 +207,9 @@
     def _history(self, request: ProxiedRequest) -> str:
         """The attempts of a request, for the log: where each went, how long it took, and how it ended."""
         now = now_us()
-        ends = (f"{a.endpoint} {a.ended()} {(now - a.sent_us) // 1000} ms" for a in request.attempts)
+        ends = (
+            f"{a.endpoint_id} {a.outcome_name()} {(now - a.started_us) // 1000} ms" for a in request.attempts
+        )
         return f"class {request.request_class.name}, " + (", ".join(ends) or "never sent")
 
     def _abandon(self, request: ProxiedRequest, status: int) -> None:
@@ -217,7 +221,7 @@
     def _out_of_time(self, request: ProxiedRequest) -> None:
         """Attempts end by time, and so does what the module holds: an answer is due now, not later."""
         for attempt in list(request.attempts):
-            attempt.drop(Outcome.TIMEOUT)
+            self.upstream.cancel(attempt, Outcome.TIMEOUT)
         self._abandon(request, 504)
 
     def end(self) -> None:
@@ -238,7 +242,7 @@
         left_ms = (until_us - now) // 1000
         refused = self._guard_send(request, attempt, left_ms, now)
         if refused is not None:
-            self.invariants.note_prevented(refused, f"{request.client.label()} to {attempt.endpoint}")
+            self.invariants.note_prevented(refused, f"{request.client.label()} to {attempt.endpoint_id}")
             if refused is Invariant.SENT_AFTER_DEPARTURE:
                 # Later, for the module may be at work above.
                 asyncio.get_running_loop().call_soon(self.gone, request)
@@ -255,7 +259,7 @@
             return Invariant.SENT_AFTER_DEADLINE
         if request.client.departed():
             return Invariant.SENT_AFTER_DEPARTURE
-        before = [Sent(a.written_us, a.location, a.outcome) for a in request.attempts if a.written_us]
+        before = [Sent(a.sent_us, a.location, a.outcome) for a in request.attempts if a.sent_us is not None]
         if before and not may_repeat(
             request.request_class, self.settings.limits, before, attempt.location, now
         ):
@@ -271,16 +275,16 @@
             self._answer(request, 200, response.headers, response.body)
         if request.answered and not request.out:
             self._discard(request)
-        spent = now_us() - attempt.sent_us
+        spent = now_us() - attempt.started_us
         told = self._tell(
             self.balancer.on_attempt_end,
             request.request_id,
             attempt.number,
-            attempt.endpoint,
+            attempt.endpoint_id,
             spent,
             request.answered,
             outcome,
-            load_of(response) if response is not None else None,
+            load_report(response) if response is not None else None,
         )
         if not told and not request.out:
             self._abandon(request, 500)
@@ -312,7 +316,7 @@
             asyncio.get_running_loop().call_soon(attempt.end, Outcome.NOT_SENT)
             return
         if until < request.due_us:
-            attempt.alarm = Alarm(until, partial(attempt.drop, Outcome.TIMEOUT))
+            attempt.timeout = Alarm(until, partial(self.upstream.cancel, attempt, Outcome.TIMEOUT))
         self.upstream.send(attempt)
 
     def _location(self, endpoint: str) -> Location:
@@ -323,7 +327,9 @@
         request = self.requests.get(request_id)
         if request is not None and attempt < len(request.attempts):
             # Later, for its outcome must not reach the module inside one of the module's own calls.
-            asyncio.get_running_loop().call_soon(request.attempts[attempt].drop, Outcome.CANCELLED)
+            asyncio.get_running_loop().call_soon(
+                self.upstream.cancel, request.attempts[attempt], Outcome.CANCELLED
+            )
 
     def reject_request(self, request_id: str, retry_after_us: int) -> None:
         request = self.requests.get(request_id)
@@ -361,7 +367,7 @@
                 self._retire(missing, "not in the list", form)
         for endpoint, host, port in entries:
             if endpoint.readiness is Readiness.READY:
-                self.upstream.place(endpoint.id, host, port, endpoint.started_us)
+                self.upstream.put_endpoint(endpoint.id, host, port, endpoint.started_us)
             else:
                 self._retire(endpoint.id, endpoint.readiness.value, form)
         if entries:
@@ -370,14 +376,14 @@
 
     def _retire(self, endpoint: str, why: str, form: WatchEventKind) -> None:
         """Begin nothing new there; note what was sent once its change may have counted as told."""
-        pool = self.upstream.retire(endpoint)
+        pool = self.upstream.remove_endpoint(endpoint)
         if pool is None or form is WatchEventKind.CACHED:
             return
         since_us = self.balancer.discovery.freshness.breach_possible_since_us()
-        if pool.written_us > since_us:
-            late_s = (pool.written_us - since_us) / 1e6
+        if pool.last_sent_us is not None and pool.last_sent_us > since_us:
+            late_s = (pool.last_sent_us - since_us) / 1e6
             detail = (
-                f"{pool.written} to {endpoint}, {late_s:.2f} s late if its change ({why}) was missed first"
+                f"{pool.last_sent} to {endpoint}, {late_s:.2f} s late if its change ({why}) was missed first"
             )
             message = f"told by {form.name.lower()} of version {self.watcher.generation}"
             self.invariants.note_possible(Invariant.SENT_UNTOLD, f"{detail}; {message}, {self._list_state()}")
--- /dev/null
+++ b/corkdoor/sidecar/upstream/attempt.py
@@ -0,0 +1,117 @@
+"""One attempt of a request at one endpoint."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from enum import auto
+
+from corkdoor.model import Outcome
+from corkdoor.sidecar.clock import Alarm, now_us
+from corkdoor.sidecar.invariants import Location
+from corkdoor.sidecar.upstream.connection import Connection
+from corkdoor.sidecar.upstream.response import Response
+from corkdoor.state_machine import ObjectState, TransitionTable
+
+
+class AttemptState(ObjectState):
+    """How far an attempt has come."""
+
+    PENDING = auto()  # nothing of it was written
+    SENT = auto()  # its bytes were given to the kernel
+    ENDED = auto()
+
+
+ATTEMPT_STATES = TransitionTable(
+    "attempt",
+    {
+        AttemptState.PENDING: frozenset((AttemptState.SENT, AttemptState.ENDED)),
+        AttemptState.SENT: frozenset((AttemptState.ENDED,)),
+        AttemptState.ENDED: frozenset(),
+    },
+)
+
+
+class Attempt:
+    """One attempt; it ends once.
+
+    Args:
+        number: its place among the attempts of its request, from 0.
+        endpoint_id: where it goes.
+        location: where that endpoint stands.
+        encode: makes the bytes to send as they go out, or returns None where it must not be sent.
+        on_end: is called once with the outcome, and with the response where one came.
+        label: what the log calls it.
+
+    Attributes:
+        state: how far it has come.
+        outcome: how it ended; None: it has not.
+        started_us: when it was asked for.
+        sent_us: when its bytes were given to the kernel; None: they were not.
+        timeout: its own timeout, where that is shorter than the request's.
+        connection: the one that carries it.
+    """
+
+    __slots__ = (
+        "connection",
+        "encode",
+        "endpoint_id",
+        "label",
+        "location",
+        "number",
+        "on_end",
+        "outcome",
+        "sent_us",
+        "started_us",
+        "state",
+        "timeout",
+    )
+
+    def __init__(
+        self,
+        number: int,
+        endpoint_id: str,
+        location: Location,
+        encode: Callable[[Attempt], bytes | None],
+        on_end: Callable[[Attempt, Outcome, Response | None], None],
+        label: str = "",
+    ) -> None:
+        self.number = number
+        self.endpoint_id = endpoint_id
+        self.location = location
+        self.encode = encode
+        self.on_end = on_end
+        self.label = label
+        self.state = AttemptState.PENDING
+        self.outcome: Outcome | None = None
+        self.started_us = now_us()
+        self.sent_us: int | None = None
+        self.timeout: Alarm | None = None
+        self.connection: Connection | None = None
+
+    @property
+    def ended(self) -> bool:
+        """Whether it has its outcome."""
+        return self.state is AttemptState.ENDED
+
+    def mark_sent(self, connection: Connection) -> int:
+        """Note that this connection carries it from now on, and return the time."""
+        self.state = ATTEMPT_STATES.check(self.state, AttemptState.SENT)
+        self.connection = connection
+        self.sent_us = now_us()
+        return self.sent_us
+
+    def end(self, outcome: Outcome, response: Response | None = None) -> None:
+        """End it, unless it has ended."""
+        if self.ended:
+            return
+        self.state = ATTEMPT_STATES.check(self.state, AttemptState.ENDED)
+        self.outcome = outcome
+        self.connection = None
+        if self.timeout is not None:
+            self.timeout.cancel()
+            self.timeout = None  # it refers to this attempt, which would leave a reference cycle
+        self.on_end(self, outcome, response)
+
+    def outcome_name(self) -> str:
+        """How it ended, for the log."""
+        return "in_flight" if self.outcome is None else self.outcome.name.lower()
--- /dev/null
+++ b/corkdoor/sidecar/upstream/connection.py
@@ -0,0 +1,160 @@
+"""One HTTP/1.1 connection to an endpoint, or to discovery."""
+
+from __future__ import annotations
+
+import logging
+from typing import Protocol
+
+from corkdoor.log_events import LogEvent
+from corkdoor.sidecar.bounds import Budget
+from corkdoor.sidecar.clock import now_us
+from corkdoor.sidecar.stream import StreamTransport
+from corkdoor.sidecar.upstream.connection_state import (
+    CONNECTION_STATES,
+    REQUEST_SENT,
+    WHEN_ALL_IS_SENT,
+    WHEN_DATA_COMES,
+    ConnectionState,
+)
+from corkdoor.sidecar.upstream.errors import ResponseError
+from corkdoor.sidecar.upstream.response import Response
+from corkdoor.sidecar.upstream.response_reader import MAX_BODY_BYTES, ResponseReader
+
+log = logging.getLogger(__name__)
+
+
+class ConnectionOwner(Protocol):
+    """Whoever opened a connection, and is notified of what becomes of it."""
+
+    def on_response(self, connection: Connection, response: Response, reusable: bool) -> None:
+        """A complete response came; a connection that is not reusable is closed already."""
+
+    def on_lost(self, connection: Connection, last_state: ConnectionState) -> None:
+        """The connection ended in this state, by its peer or for what came on it."""
+
+
+class Connection:
+    """One HTTP/1.1 connection that carries one exchange at a time.
+
+    A response that can't be read ends the exchange, and the connection with it: nobody can tell what its
+    next bytes belong to.
+
+    Args:
+        owner: is notified of the response, or of the connection's end.
+        budget: the bytes of bodies that may be held for all connections together.
+        max_body_bytes: the limit of one body.
+
+    Attributes:
+        state: what is going on on it.
+        idle_since_us: when its last exchange ended, or when it was made.
+        last_data_us: when the last bytes of an incomplete response came; None: none has begun.
+    """
+
+    __slots__ = ("_reader", "idle_since_us", "last_data_us", "owner", "state", "transport")
+
+    def __init__(self, owner: ConnectionOwner, budget: Budget, max_body_bytes: int = MAX_BODY_BYTES) -> None:
+        self.owner = owner
+        self.state = ConnectionState.IDLE
+        self.idle_since_us = now_us()
+        self.last_data_us: int | None = None
+        self._reader = ResponseReader(budget, max_body_bytes)
+
+    def _enter(self, state: ConnectionState) -> None:
+        self.state = CONNECTION_STATES.check(self.state, state)
+
+    @property
+    def closed(self) -> bool:
+        """Whether it has ended."""
+        return self.state is ConnectionState.CLOSED
+
+    def is_stale(self) -> bool:
+        """Whether an idle connection has anything to read: its end, or what nobody asked for.
+
+        Guards against writing an unsafe request to a connection whose end the loop has not come to yet.
+        """
+        return self.closed or self.transport.has_input()
+
+    def stalled_since(self, time_us: int) -> bool:
+        """Whether a response has begun and nothing more of it came since before `time_us`."""
+        return self.last_data_us is not None and self.last_data_us < time_us
+
+    def send(self, data: bytes) -> None:
+        """Begin an exchange with a whole request."""
+        self._enter(ConnectionState.AWAITING_RESPONSE)
+        self.transport.write(data)
+
+    def close(self) -> None:
+        """Give up the exchange: whatever still comes on this connection reaches nobody."""
+        if self.closed:
+            return
+        self._enter(ConnectionState.CLOSED)
+        self.transport.abort()
+
+    def abandon(self, reason: str) -> None:
+        """End the exchange, and the connection, for what came or did not come on it."""
+        log.info(LogEvent("response_abandoned", reason=reason))
+        last_state = self.state
+        self.close()
+        self.owner.on_lost(self, last_state)
+
+    def _complete(self, response: Response) -> None:
+        reusable = self._reader.keep_alive and self.state in REQUEST_SENT
+        self._reader.reset()
+        self.last_data_us = None
+        if reusable:
+            self._enter(ConnectionState.IDLE)
+        else:
+            self.close()
+        self.owner.on_response(self, response, reusable)
+
+    # --- the transport's callbacks ---
+
+    def connection_made(self, transport: StreamTransport) -> None:
+        """The connection is up."""
+        self.transport = transport
+        # With no buffer allowed, `pause_writing` tells that the kernel has not taken all of a request yet.
+        transport.set_write_buffer_limits(high=0)
+
+    def pause_writing(self) -> None:
+        """The kernel has not taken all of the request."""
+        self._enter(ConnectionState.SENDING)
+
+    def resume_writing(self) -> None:
+        """The kernel has the rest of the request."""
+        self._enter(WHEN_ALL_IS_SENT.get(self.state, ConnectionState.AWAITING_RESPONSE))
+
+    def data_received(self, data: bytes) -> None:
+        """Read a part of the response."""
+        if self.closed:
+            return
+        if self.state is ConnectionState.IDLE:
+            self.abandon("bytes outside of an exchange")
+            return
+        self.last_data_us = now_us()
+        following = WHEN_DATA_COMES.get(self.state)
+        if following is not None:
+            self._enter(following)
+        try:
+            response = self._reader.feed(data)
+        except ResponseError as error:
+            self.abandon(str(error))
+            return
+        if response is not None:
+            self._complete(response)
+
+    def eof_received(self) -> bool:
+        """The orderly end, which a reset is not: it completes a response that states no length."""
+        if not self.closed:
+            response = self._reader.feed_eof()
+            if response is not None:
+                self._complete(response)
+        return False
+
+    def connection_lost(self, _exc: Exception | None) -> None:
+        """The connection has ended."""
+        last_state = self.state
+        self._reader.close()
+        self.last_data_us = None
+        if last_state is not ConnectionState.CLOSED:
+            self._enter(ConnectionState.CLOSED)
+            self.owner.on_lost(self, last_state)
--- /dev/null
+++ b/corkdoor/sidecar/upstream/connection_state.py
@@ -0,0 +1,42 @@
+"""The states of a connection to an endpoint, and the transitions between them."""
+
+from __future__ import annotations
+
+from enum import auto
+
+from corkdoor.state_machine import ObjectState, TransitionTable
+
+
+class ConnectionState(ObjectState):
+    """What is going on on a connection; it carries one exchange at a time."""
+
+    IDLE = auto()  # no exchange
+    SENDING = auto()  # the kernel has not taken all of the request
+    AWAITING_RESPONSE = auto()  # the kernel has all of the request
+    RECEIVING_EARLY = auto()  # a response has begun before the kernel had all of the request
+    RECEIVING = auto()  # a response has begun
+    CLOSED = auto()
+
+
+IDLE = ConnectionState.IDLE
+SENDING = ConnectionState.SENDING
+AWAITING_RESPONSE = ConnectionState.AWAITING_RESPONSE
+RECEIVING_EARLY = ConnectionState.RECEIVING_EARLY
+RECEIVING = ConnectionState.RECEIVING
+CLOSED = ConnectionState.CLOSED
+
+CONNECTION_STATES = TransitionTable(
+    "upstream connection",
+    {
+        IDLE: frozenset((AWAITING_RESPONSE, CLOSED)),
+        SENDING: frozenset((AWAITING_RESPONSE, RECEIVING_EARLY, CLOSED)),
+        AWAITING_RESPONSE: frozenset((SENDING, RECEIVING, CLOSED)),
+        RECEIVING_EARLY: frozenset((RECEIVING, CLOSED)),
+        RECEIVING: frozenset((IDLE, CLOSED)),
+        CLOSED: frozenset(),
+    },
+)
+RESPONSE_BEGUN = frozenset((RECEIVING_EARLY, RECEIVING))
+REQUEST_SENT = frozenset((AWAITING_RESPONSE, RECEIVING))  # the kernel has its last byte
+WHEN_DATA_COMES = {SENDING: RECEIVING_EARLY, AWAITING_RESPONSE: RECEIVING}
+WHEN_ALL_IS_SENT = {SENDING: AWAITING_RESPONSE, RECEIVING_EARLY: RECEIVING}
--- /dev/null
+++ b/corkdoor/sidecar/upstream/manager.py
@@ -0,0 +1,205 @@
+"""All pools together: the limit on open connections, connecting, and sending attempts.
+
+There is no hidden retry: an attempt is written to one connection, once, and its outcome is told apart as
+finely as the socket allows, since a request that never ran may be sent again.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from collections import Counter
+from typing import NamedTuple
+
+from corkdoor.log_events import LogEvent
+from corkdoor.model import Outcome
+from corkdoor.sidecar import stream
+from corkdoor.sidecar.bounds import Budget
+from corkdoor.sidecar.clock import now_us
+from corkdoor.sidecar.invariants import Invariant, InvariantLog
+from corkdoor.sidecar.upstream.attempt import Attempt
+from corkdoor.sidecar.upstream.connection import Connection
+from corkdoor.sidecar.upstream.pool import EndpointPool
+
+KEEP_SHARE = 0.85  # of the time after which endpoints close idle connections: those that cross a request fail
+DEFAULT_IDLE_TIMEOUT_US = 5_000_000
+SWEEP_INTERVAL_S = 0.25
+STALL_US = 1_000_000  # a response is written in one go: one that pauses for so long never ends
+log = logging.getLogger(__name__)
+
+
+class PoolLimits(NamedTuple):
+    """What bounds the pools.
+
+    Attributes:
+        idle_timeout_us: after how long endpoints close idle connections; 0: unknown.
+        connect_timeout_us: how long a connection may take to come up.
+        max_connections: how many may be open or coming up, to all endpoints together.
+    """
+
+    idle_timeout_us: int
+    connect_timeout_us: int
+    max_connections: int
+
+
+class PoolManager:
+    """All pools, and the limit on their connections together.
+
+    Attributes:
+        open_connections: those that are up or coming up.
+        counters: what became of attempts and connections since the last status line.
+        pools: by endpoint id, of the endpoints that are ready and no others.
+        pools_with_idle: those that have, or lately had, idle connections.
+        active: the attempt that is out on each connection.
+    """
+
+    def __init__(self, limits: PoolLimits, budget: Budget, invariants: InvariantLog) -> None:
+        self.invariants = invariants
+        self.budget = budget
+        self.open_connections = 0
+        self.counters: Counter[str] = Counter()
+        self.pools: dict[str, EndpointPool] = {}
+        self.pools_with_idle: dict[EndpointPool, None] = {}
+        self.active: dict[Connection, Attempt] = {}
+        self._connecting: set[asyncio.Task[None]] = set()
+        self.configure(limits)
+
+    def configure(self, limits: PoolLimits) -> None:
+        """Take other limits; beyond a lowered one idle connections close now, others once they are free."""
+        self.keep_idle_us = int(KEEP_SHARE * (limits.idle_timeout_us or DEFAULT_IDLE_TIMEOUT_US))
+        self.connect_timeout_s = limits.connect_timeout_us / 1e6
+        self.max_connections = limits.max_connections
+        while self.open_connections > self.max_connections and self._evict_longest_idle():
+            pass
+
+    def within_limit(self) -> bool:
+        """Whether no more connections are open than may be; the limit may have been lowered."""
+        return self.open_connections <= self.max_connections
+
+    async def sweep(self) -> None:
+        """Close connections that have been idle for long, and those whose response has stalled."""
+        while True:
+            await asyncio.sleep(SWEEP_INTERVAL_S)
+            now = now_us()
+            for pool in list(self.pools_with_idle):
+                pool.close_idle(now - self.keep_idle_us)
+                if not pool.idle:
+                    del self.pools_with_idle[pool]
+            for connection in list(self.active):
+                if connection.stalled_since(now - STALL_US):
+                    connection.abandon("the response stalled")
+
+    # --- endpoints ---
+
+    def put_endpoint(self, endpoint_id: str, host: str, port: int, started_us: int) -> None:
+        """Add an endpoint that is ready; one with another address or process replaces the old one.
+
+        A pool holds connections to one process only, so those of the old one close once they are free.
+        """
+        pool = self.pools.get(endpoint_id)
+        if pool is not None and (pool.host, pool.port, pool.started_us) != (host, port, started_us):
+            self.remove_endpoint(endpoint_id)
+            pool = None
+        if pool is None:
+            self.pools[endpoint_id] = EndpointPool(self, host, port, started_us)
+
+    def remove_endpoint(self, endpoint_id: str) -> EndpointPool | None:
+        """Begin nothing new at an endpoint, and return the pool that it had; what is in flight may end."""
+        pool = self.pools.pop(endpoint_id, None)
+        if pool is not None:
+            pool.ready = False
+            pool.close_idle()
+        return pool
+
+    def close_idle(self, endpoint_id: str) -> None:
+        """Close the idle connections to one endpoint."""
+        pool = self.pools.get(endpoint_id)
+        if pool is not None:
+            pool.close_idle()
+
+    # --- attempts ---
+
+    def send(self, attempt: Attempt) -> None:
+        """Begin an attempt. It never ends within this call: the balancer is still at work above it."""
+        pool = self.pools.get(attempt.endpoint_id)
+        if pool is None:
+            _end_soon(attempt, Outcome.CONNECT_FAILED)
+            return
+        connection = pool.acquire()
+        if connection is not None:
+            self.counters["reused"] += 1
+            self._write(attempt, connection, pool)
+        elif attempt.encode(attempt) is None:  # no connection is opened for nobody either
+            _end_soon(attempt, Outcome.NOT_SENT)
+        elif self.open_connections < self.max_connections or self._evict_longest_idle():
+            self._start_connecting(attempt, pool)
+        else:
+            self.counters["no_capacity"] += 1
+            _end_soon(attempt, Outcome.CONNECT_FAILED)
+
+    def cancel(self, attempt: Attempt, outcome: Outcome) -> None:
+        """End an attempt; closing its connection keeps a late response from any other request."""
+        connection, attempt.connection = attempt.connection, None
+        if connection is not None:
+            self.active.pop(connection, None)
+            self.open_connections -= 1
+            connection.close()
+        attempt.end(outcome)
+
+    def _evict_longest_idle(self) -> bool:
+        """Close the connection that has been idle longest; False: there is none."""
+        pools = [pool for pool in self.pools_with_idle if pool.idle]
+        if not pools:
+            return False
+        min(pools, key=lambda pool: pool.idle[0].idle_since_us).close_longest_idle()
+        return True
+
+    def _start_connecting(self, attempt: Attempt, pool: EndpointPool) -> None:
+        self.open_connections += 1
+        self.counters["opened"] += 1
+        task = asyncio.get_running_loop().create_task(self._connect_and_send(attempt, pool))
+        self._connecting.add(task)
+        task.add_done_callback(self._connecting.discard)
+
+    async def connect(self, connection: Connection, host: str, port: int) -> None:
+        """Bring a connection up; OSError: it does not come up."""
+        await stream.connect(connection, host, port)
+
+    async def _connect_and_send(self, attempt: Attempt, pool: EndpointPool) -> None:
+        connection = Connection(pool, self.budget)
+        try:
+            # A machine that has vanished sends nothing: only time ends such a handshake.
+            async with asyncio.timeout(self.connect_timeout_s):
+                await self.connect(connection, pool.host, pool.port)
+        except Exception as error:
+            if not isinstance(error, OSError | TimeoutError):
+                log.exception(LogEvent("connect_error", endpoint=attempt.endpoint_id))
+            self.open_connections -= 1
+            attempt.end(Outcome.CONNECT_FAILED)
+            return
+        if connection.closed:  # it broke at once, and `on_lost` has counted it
+            attempt.end(Outcome.CONNECT_FAILED)
+        elif attempt.ended:  # the next attempt may use the connection
+            pool.release(connection)
+        elif not pool.ready:  # the endpoint was removed while the connection came up
+            pool.release(connection)
+            attempt.end(Outcome.CONNECT_FAILED)
+        else:
+            self._write(attempt, connection, pool)
+
+    def _write(self, attempt: Attempt, connection: Connection, pool: EndpointPool) -> None:
+        if not pool.ready:
+            self.invariants.note_broken(Invariant.SENT_TO_RETIRED, attempt.endpoint_id)
+        data = attempt.encode(attempt)
+        if data is None or not pool.ready:
+            pool.release(connection)
+            _end_soon(attempt, Outcome.NOT_SENT)
+            return
+        pool.record_sent(attempt, attempt.mark_sent(connection))
+        self.active[connection] = attempt
+        connection.send(data)
+
+
+def _end_soon(attempt: Attempt, outcome: Outcome) -> None:
+    """End an attempt in the loop's next turn: the balancer is still at work above."""
+    asyncio.get_running_loop().call_soon(attempt.end, outcome)
--- /dev/null
+++ b/corkdoor/sidecar/upstream/response.py
@@ -0,0 +1,41 @@
+"""A complete response, and what it says about the attempt and about the load of its endpoint."""
+
+from __future__ import annotations
+
+from http import HTTPStatus
+from typing import NamedTuple
+
+from corkdoor.load_report import LoadReport, parse_load_report
+from corkdoor.model import Outcome
+
+_DECLINABLE = (HTTPStatus.SERVICE_UNAVAILABLE, HTTPStatus.GATEWAY_TIMEOUT)
+
+
+class Response(NamedTuple):
+    """A complete response: status, header fields in their order, and body."""
+
+    status: int
+    headers: list[tuple[bytes, bytes]]
+    body: bytes
+
+
+def classify(response: Response) -> Outcome:
+    """Return the outcome of the attempt that got this response.
+
+    A 503 or 504 with `Srv-Declined: 1` never ran; without it, it is an error that may have run.
+    """
+    if response.status == HTTPStatus.OK:
+        return Outcome.OK
+    if response.status in _DECLINABLE:
+        for name, value in response.headers:
+            if name.lower() == b"srv-declined" and value == b"1":
+                return Outcome.REJECTED
+    return Outcome.ERROR
+
+
+def load_report(response: Response) -> LoadReport | None:
+    """Return the load report of a response; None where it holds none that can be read."""
+    for name, value in response.headers:
+        if name.lower() == b"srv-load":
+            return parse_load_report(value.decode("latin-1"), "=")
+    return None
--- a/corkdoor/state_machine.py
+++ b/corkdoor/state_machine.py
@@ -14,6 +14,12 @@
 log = logging.getLogger(__name__)
 
 
+class ObjectState(Enum):
+    """The base of states that are checked for each request: hashed by identity, which costs the least."""
+
+    __hash__ = object.__hash__
+
+
 class TransitionTable(Generic[State]):
     """Every state of one kind of object, and the states that may follow each.
 
--- a/emulator/breakdown.py
+++ b/emulator/breakdown.py
@@ -20,7 +20,9 @@
 from corkdoor import balancer
 from corkdoor.policy.buckets import TokenBuckets
 from corkdoor.sidecar import __main__ as program
-from corkdoor.sidecar import clock, discovery, proxy, server, upstream
+from corkdoor.sidecar import clock, discovery, proxy, server
+from corkdoor.sidecar.upstream.connection import Connection
+from corkdoor.sidecar.upstream.pool import EndpointPool
 from emulator.sidecar import VARIABLE
 
 # The step's name, its class, and its method.
@@ -33,10 +35,10 @@
     ("module pick", balancer.Balancer, "_pick"),
     ("module refill", TokenBuckets, "refill"),
     ("hand off", proxy.Proxy, "send_attempt"),
-    ("take connection", upstream.Pool, "take"),
-    ("poll for staleness", upstream.Connection, "stale"),
-    ("write to endpoint", upstream.Connection, "send"),
-    ("read answer", upstream.Connection, "data_received"),
+    ("take connection", EndpointPool, "acquire"),
+    ("poll for staleness", Connection, "is_stale"),
+    ("write to endpoint", Connection, "send"),
+    ("read answer", Connection, "data_received"),
     ("attempt ended", proxy.Proxy, "_ended"),
     ("module reply", balancer.Balancer, "on_attempt_end"),
     ("write to caller", server.ClientConnection, "answer"),
--- a/tests/test_answer_framing.py
+++ b/tests/test_answer_framing.py
@@ -69,7 +69,7 @@
         async with Sidecar(endpoints=2) as sidecar:
             asked, client = await one_attempt(sidecar)
             asked.writer.write(sent)
-            while not any(c.heard_us for c in sidecar.proxy.upstream.active):
+            while not any(c.last_data_us is not None for c in sidecar.proxy.upstream.active):
                 await asyncio.sleep(0.01)
             reset(asked.writer)
             assert (await client.answer()).status == 502
--- a/tests/test_crowding.py
+++ b/tests/test_crowding.py
@@ -6,8 +6,9 @@
 
 import pytest
 
-from corkdoor.sidecar import proxy, server, upstream
+from corkdoor.sidecar import proxy, server
 from corkdoor.sidecar.clock import now_us
+from corkdoor.sidecar.upstream import attempt, connection, manager, pool
 from tests.sidecar_support import Asked, Client, Sidecar, run
 
 
@@ -16,7 +17,7 @@
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.us = now_us()
-        for module in (proxy, server, upstream):
+        for module in (proxy, server, attempt, connection, manager, pool):
             monkeypatch.setattr(module, "now_us", lambda: self.us)
         # A slow machine comes to look at callers that are not yet in use, and would close them by this clock.
         monkeypatch.setattr(server, "FIRST_S", 3600.0)
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -14,7 +14,7 @@
 from corkdoor.model import WatchEventKind
 from corkdoor.sidecar import server
 from corkdoor.sidecar.discovery import read_endpoint_list
-from corkdoor.sidecar.upstream import Connection
+from corkdoor.sidecar.upstream.connection import Connection
 from tests.sidecar_support import SETUP, Client, Sidecar, first_asked, read_message, row, run
 
 
@@ -63,14 +63,14 @@
         allowed = {**SETUP["Allowed"], "MayCancel": cancellation_allowed, "ConnectTimeoutUs": 9_000_000}
         async with Sidecar(Allowed=allowed) as sidecar:
             up, gone = asyncio.Event(), asyncio.Event()
-            dial = sidecar.proxy.upstream.dial
+            connect = sidecar.proxy.upstream.connect
 
             async def late(*where: object) -> None:
-                await dial(*where)  # type: ignore[arg-type]
+                await connect(*where)  # type: ignore[arg-type]
                 up.set()
                 await gone.wait()
 
-            monkeypatch.setattr(sidecar.proxy.upstream, "dial", late)
+            monkeypatch.setattr(sidecar.proxy.upstream, "connect", late)
             client, other = await sidecar.client(), await sidecar.client()
             client.send(request_id="early")
             await up.wait()
@@ -203,12 +203,12 @@
     for i, fake in enumerate(sidecar.endpoints):
         host, _, port = fake.address.rpartition(":")
         # As a list would place it that tells of no start.
-        upstream.place(f"s-{i}", host, int(port), 0)
+        upstream.put_endpoint(f"s-{i}", host, int(port), 0)
         for _ in range(each):
             connection = Connection(upstream.pools[f"s-{i}"], upstream.budget)
-            upstream.open += 1
-            await upstream.dial(connection, host, int(port))
-            upstream.pools[f"s-{i}"].rest(connection)
+            upstream.open_connections += 1
+            await upstream.connect(connection, host, int(port))
+            upstream.pools[f"s-{i}"].release(connection)
 
 
 async def held(sidecar: Sidecar, count: int) -> None:
@@ -234,7 +234,7 @@
             leave(client)
             all_listed(sidecar)
             await noticed(sidecar)
-            assert sidecar.proxy.upstream.tally["opened"] == 0
+            assert sidecar.proxy.upstream.counters["opened"] == 0
             await only_this_arrives(sidecar, other)
             assert sidecar.proxy.tally["gone"] == 1
             assert not sidecar.proxy.requests
@@ -273,16 +273,16 @@
 ) -> None:
     async def test() -> None:
         async with Sidecar(Allowed={**SETUP["Allowed"], "ConnectTimeoutUs": 9_000_000}) as sidecar:
-            dial = sidecar.proxy.upstream.dial
+            connect = sidecar.proxy.upstream.connect
             client, other = blocking(sidecar), await sidecar.client()
 
             async def late(*where: object) -> None:
-                await dial(*where)  # type: ignore[arg-type]
+                await connect(*where)  # type: ignore[arg-type]
                 monkeypatch.undo()
                 leave(client)  # nothing comes between this and the attempt
 
-            monkeypatch.setattr(sidecar.proxy.upstream, "dial", late)
-            while not sidecar.proxy.upstream.tally["opened"]:
+            monkeypatch.setattr(sidecar.proxy.upstream, "connect", late)
+            while not sidecar.proxy.upstream.counters["opened"]:
                 await asyncio.sleep(0.01)
             await noticed(sidecar)
             await only_this_arrives(sidecar, other)
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -13,10 +13,12 @@
 from corkdoor.sidecar.discovery import read_endpoint_list
 from corkdoor.sidecar.proxied_request import ProxiedRequest
 from corkdoor.sidecar.server import ClientConnection
-from corkdoor.sidecar.upstream import Attempt, Connection, Pool
+from corkdoor.sidecar.upstream.attempt import Attempt
+from corkdoor.sidecar.upstream.connection import Connection
+from corkdoor.sidecar.upstream.pool import EndpointPool
 from tests.sidecar_support import Fake, Sidecar, row, run
 
-COUNTED = (Alarm, Attempt, ClientConnection, Connection, Pool, ProxiedRequest)
+COUNTED = (Alarm, Attempt, ClientConnection, Connection, EndpointPool, ProxiedRequest)
 
 
 def counts() -> Counter[str]:
@@ -63,7 +65,7 @@
                 gc.enable()
 
     async def settled(sidecar: Sidecar) -> None:
-        while sidecar.server.clients or sidecar.proxy.requests or sidecar.proxy.upstream.open:
+        while sidecar.server.clients or sidecar.proxy.requests or sidecar.proxy.upstream.open_connections:
             await asyncio.sleep(0.01)
         await asyncio.sleep(0.05)  # what was aborted is let go of in the loop's next turns
 
@@ -111,6 +113,6 @@
             new.reply()
             assert (await new_client.answer()).status == 200
             assert balancer.endpoints["s-1"].in_flight == 0
-            assert sidecar.proxy.upstream.open == 1
+            assert sidecar.proxy.upstream.open_connections == 1
 
     run(test())
--- a/tests/test_live_settings.py
+++ b/tests/test_live_settings.py
@@ -17,7 +17,8 @@
 from corkdoor.sidecar import server
 from corkdoor.sidecar.bounds import Bounds
 from corkdoor.sidecar.config import Config, ConfigError, load
-from corkdoor.sidecar.upstream import Connection, Upstream
+from corkdoor.sidecar.upstream.connection import Connection
+from corkdoor.sidecar.upstream.manager import PoolManager
 from tests.sidecar_support import SETUP, Client, Fake, Program, Sidecar, listing, program, ready, row, run
 from tests.test_crowding import arrivals
 
@@ -50,7 +51,7 @@
             for client in clients:
                 client.send()
             out = [await queue.get() for _ in clients]
-            opened = sidecar.proxy.upstream.open
+            opened = sidecar.proxy.upstream.open_connections
             variants: list[dict[str, Any]] = [
                 without_pay(),
                 {"Categories": [{**PAY, "Effect": "idempotent", "AimUs": 500_000}, NEW]},
@@ -65,7 +66,7 @@
             assert [(await client.answer()).status for client in clients] == [200] * 200
             assert sidecar.proxy.changes == 21
             assert len(sidecar.server.clients) == 200
-            assert sidecar.proxy.upstream.open == opened
+            assert sidecar.proxy.upstream.open_connections == opened
             assert queue.empty()
             for client in clients:  # what comes next on each connection is the next answer
                 client.send()
@@ -152,10 +153,10 @@
 
 
 def test_connections_come_up_in_the_time_that_is_now_told(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def dial(self: Upstream, connection: Connection, host: str, port: int) -> None:
+    async def connect(self: PoolManager, connection: Connection, host: str, port: int) -> None:
         await asyncio.Event().wait()
 
-    monkeypatch.setattr(Upstream, "dial", dial)
+    monkeypatch.setattr(PoolManager, "connect", connect)
 
     async def test() -> None:
         async with Sidecar(Allowed={**SETUP["Allowed"], "ConnectTimeoutUs": 60_000_000}) as sidecar:
@@ -235,15 +236,15 @@
                 asked.append(await fake.next())
             asked[0].reply()
             assert (await clients[0].answer()).status == 200
-            assert upstream.open == 4
+            assert upstream.open_connections == 4
             reload(sidecar, bounds=Bounds(500, 2, 1 << 20))
             assert await fake.ends.get() == asked[0].connection  # the idle one
-            assert (upstream.open, sidecar.proxy.budget.most) == (3, 1 << 20)
+            assert (upstream.open_connections, sidecar.proxy.budget.most) == (3, 1 << 20)
             assert (await clients[0].ask()).status == 503  # no room for one more, and it was sent nowhere
             for one in asked[1:]:
                 one.reply()
             assert [(await client.answer()).status for client in clients[1:]] == [200] * 3
-            assert upstream.open == 2
+            assert upstream.open_connections == 2
             assert fake.connections == 4
 
     run(test())
@@ -314,7 +315,7 @@
             with pytest.raises(ConfigError, match=f"{key}: .* can't become .* while the process runs"):
                 sidecar.server.reload(config)
             assert (sidecar.proxy.config, sidecar.proxy.balancer.settings) == before
-            assert (sidecar.server.most, sidecar.proxy.upstream.most) == (500, 400)
+            assert (sidecar.server.most, sidecar.proxy.upstream.max_connections) == (500, 400)
             assert sidecar.proxy.watcher.port == before[0].discovery.port
             client = await sidecar.client()
             client.send()
--- a/tests/test_unsafe.py
+++ b/tests/test_unsafe.py
@@ -8,8 +8,8 @@
 import pytest
 
 from corkdoor.model import WatchEventKind
-from corkdoor.sidecar import upstream
 from corkdoor.sidecar.discovery import read_endpoint_list
+from corkdoor.sidecar.upstream.connection import Connection
 from tests.sidecar_support import SETUP, Asked, Fake, Sidecar, first_asked, one_attempt, row, run
 
 ALLOWED = {**SETUP["Allowed"], "SecondCopies": True, "ConnectTimeoutUs": 100_000}
@@ -102,16 +102,16 @@
     async def test() -> None:
         async with Sidecar(endpoints=2, Allowed=ALLOWED) as sidecar:
             await sidecar.discovery.next()  # its connection is of the same kind
-            send = upstream.Connection.send
+            send = Connection.send
 
-            def in_part(connection: upstream.Connection, data: bytes) -> None:
-                monkeypatch.setattr(upstream.Connection, "send", send)
+            def in_part(connection: Connection, data: bytes) -> None:
+                monkeypatch.setattr(Connection, "send", send)
                 send(connection, data[:-1])
                 connection.pause_writing()  # as where the kernel's buffer is full
                 parts.put_nowait(connection)
 
-            parts: asyncio.Queue[upstream.Connection] = asyncio.Queue()
-            monkeypatch.setattr(upstream.Connection, "send", in_part)
+            parts: asyncio.Queue[Connection] = asyncio.Queue()
+            monkeypatch.setattr(Connection, "send", in_part)
             client = await sidecar.client()
             client.send()
             port = (await parts.get()).transport.peer_port()
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -11,11 +11,14 @@
 import pytest
 
 from corkdoor.model import Outcome, WatchEventKind
-from corkdoor.sidecar import proxied_request, upstream
+from corkdoor.sidecar import proxied_request
 from corkdoor.sidecar.bounds import Budget
 from corkdoor.sidecar.discovery import ResolvedEndpoint, read_endpoint_list
 from corkdoor.sidecar.invariants import InvariantLog, Location
-from corkdoor.sidecar.upstream import Attempt, Response, Upstream
+from corkdoor.sidecar.upstream import manager
+from corkdoor.sidecar.upstream.attempt import Attempt
+from corkdoor.sidecar.upstream.manager import PoolLimits, PoolManager
+from corkdoor.sidecar.upstream.response import Response
 from tests.sidecar_support import (
     SETUP,
     Sidecar,
@@ -29,6 +32,11 @@
 HERE = Location("a", 0)
 
 
+def new_manager(connect_timeout_us: int = 1_000_000) -> PoolManager:
+    """Pools without a sidecar round them."""
+    return PoolManager(PoolLimits(0, connect_timeout_us, 4), Budget(1 << 20), InvariantLog())
+
+
 @pytest.mark.parametrize("status", [500, 503, 504, 429, 404])
 def test_error_that_may_have_run_is_no_refusal_and_unsafe_is_not_sent_again(status: int) -> None:
     """Rule 2: an endpoint's own 503 must not reach the client as a promise that a retry is harmless."""
@@ -115,21 +123,21 @@
             listener = socket.create_server(("127.0.0.1", 0))
             listener.setblocking(False)
             ended: asyncio.Queue[Outcome] = asyncio.Queue()
-            upstream = Upstream(0, 1_000_000, 4, Budget(1 << 20), InvariantLog())
-            upstream.place("e", "127.0.0.1", listener.getsockname()[1], 0)
+            pools = new_manager()
+            pools.put_endpoint("e", "127.0.0.1", listener.getsockname()[1], 0)
 
             def on_end(
                 _: Attempt, outcome: Outcome, __: Response | None, ended: asyncio.Queue[Outcome] = ended
             ) -> None:
                 ended.put_nowait(outcome)
 
-            upstream.send(Attempt(0, "e", HERE, lambda _, size=size: b"x" * size, on_end))  # type: ignore[misc]
+            pools.send(Attempt(0, "e", HERE, lambda _, size=size: b"x" * size, on_end))  # type: ignore[misc]
             peer, _ = await asyncio.get_running_loop().sock_accept(listener)
             assert await asyncio.get_running_loop().sock_recv(peer, 16)  # the first bytes have come
             peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
             peer.close()
             assert await ended.get() is expected
-            assert upstream.open == 0
+            assert pools.open_connections == 0
             listener.close()
 
     run(test())
@@ -142,10 +150,10 @@
         for filler in fillers:  # take what the backlog holds: the next handshake gets no answer
             filler.setblocking(False)
             filler.connect_ex(full.getsockname())
-        upstream = Upstream(0, 100_000, 4, Budget(1 << 20), InvariantLog())
-        upstream.place("e", "127.0.0.1", full.getsockname()[1], 0)
+        pools = new_manager(connect_timeout_us=100_000)
+        pools.put_endpoint("e", "127.0.0.1", full.getsockname()[1], 0)
         ended: asyncio.Queue[Outcome] = asyncio.Queue()
-        upstream.send(Attempt(0, "e", HERE, lambda _: b"x", lambda _, outcome, __: ended.put_nowait(outcome)))
+        pools.send(Attempt(0, "e", HERE, lambda _: b"x", lambda _, outcome, __: ended.put_nowait(outcome)))
         assert await ended.get() is Outcome.CONNECT_FAILED
         for sock in (full, *fillers):
             sock.close()
@@ -160,12 +168,12 @@
         listener = socket.create_server(("127.0.0.1", 0))
         listener.setblocking(False)
         loop = asyncio.get_running_loop()
-        upstream = Upstream(0, 1_000_000, 4, Budget(1 << 20), InvariantLog())
-        upstream.place("e", "127.0.0.1", listener.getsockname()[1], 0)
+        pools = new_manager()
+        pools.put_endpoint("e", "127.0.0.1", listener.getsockname()[1], 0)
         ended: asyncio.Queue[Outcome] = asyncio.Queue()
 
         def send() -> None:
-            upstream.send(
+            pools.send(
                 Attempt(0, "e", HERE, lambda _: b"x", lambda _, outcome, __: ended.put_nowait(outcome))
             )
 
@@ -195,7 +203,7 @@
             (await sidecar.endpoints[0].next()).reply()
             await client.answer()
             assert await sidecar.endpoints[0].ends.get() == 0
-            assert sidecar.proxy.upstream.open == 0
+            assert sidecar.proxy.upstream.open_connections == 0
 
     run(test())
 
@@ -218,7 +226,7 @@
             assert asked.writer in after.writers
             asked.reply()
             assert (await client.answer()).status == 200
-            assert sidecar.proxy.upstream.open == 1
+            assert sidecar.proxy.upstream.open_connections == 1
 
     run(test())
 
@@ -244,7 +252,7 @@
                 asked.reply()
                 await client.answer()
                 seen.add(next(i for i, f in enumerate(sidecar.endpoints) if asked.writer in f.writers))
-                assert sidecar.proxy.upstream.open == 1
+                assert sidecar.proxy.upstream.open_connections == 1
 
     run(test())
 
@@ -283,7 +291,7 @@
     """The request has run: an unsafe one is not sent again, and nothing of the answer is passed on."""
 
     async def test() -> None:
-        monkeypatch.setattr(upstream, "STALL_US", 100_000)
+        monkeypatch.setattr(manager, "STALL_US", 100_000)
         async with Sidecar(endpoints=2) as sidecar:
             asked, client = await one_attempt(sidecar)
             asked.writer.write(raw)
@@ -291,7 +299,7 @@
             assert (answer.status, answer.body) == (502, b"")
             assert await asyncio.wait_for(ended(sidecar), 2) == 0
             assert all(fake.asked.empty() for fake in sidecar.endpoints)
-            assert (sidecar.proxy.upstream.open, sidecar.proxy.budget.held) == (0, 0)
+            assert (sidecar.proxy.upstream.open_connections, sidecar.proxy.budget.held) == (0, 0)
 
     run(test())
 
