--- /dev/null
+++ b/corkdoor/sidecar/process.py
@@ -0,0 +1,125 @@
+"""The life of one sidecar process: start, reloads on SIGHUP, graceful shutdown on SIGTERM or SIGINT."""
+
+from __future__ import annotations
+
+import asyncio
+import gc
+import logging
+import os
+import signal
+import time
+from functools import partial
+from pathlib import Path
+
+from corkdoor.log_events import LogEvent
+from corkdoor.sidecar.config import Config, ConfigError, load
+from corkdoor.sidecar.event_loop_lag import log_event_loop_lag
+from corkdoor.sidecar.graceful_shutdown import shut_down
+from corkdoor.sidecar.proxy import Proxy
+from corkdoor.sidecar.server import Server
+from corkdoor.sidecar.signals import SignalActions
+from corkdoor.sidecar.status_report import status_line
+
+STATUS_INTERVAL_S = 2.0
+GC_THRESHOLDS = (20_000, 20, 50)  # rarer than by default: a collection holds up every request
+START_TIME_FIELD = 19  # of /proc/PID/stat, counted behind the name of the program
+log = logging.getLogger(__name__)
+
+
+async def run(config: Config) -> None:
+    """Serve until a signal asks for the end, and shut down gracefully."""
+    stop = asyncio.Event()
+    signals = SignalActions()
+    for number in (signal.SIGTERM, signal.SIGINT):
+        signals.handle(number, stop.set)
+    proxy = Proxy(config)
+    server = Server(proxy, config.bounds.clients)
+    signals.handle(signal.SIGHUP, partial(reload, server))
+    signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
+    server.bind(config.listen.host, config.listen.port)
+    proxy.start()
+    background = _start_background(proxy, server, signals)
+    _freeze_heap()
+    server.listener.start()
+    _log_serving(config)
+    background.append(asyncio.create_task(_log_ready(proxy)))
+    await stop.wait()
+    await shut_down(server, proxy)
+    for task in background:
+        task.cancel()
+
+
+def reload(server: Server) -> None:
+    """Read the configuration again; a bad one is logged and changes nothing."""
+    before = server.proxy.config
+    try:
+        server.reload(load(os.environ))
+    except ConfigError as error:
+        log.error(LogEvent("config_rejected", key=error.key, reason=error.reason))
+        return
+    except Exception as error:  # whatever is wrong with a file, it must not end a process that serves
+        log.error(LogEvent("config_rejected", key="-", reason=f"{type(error).__name__}: {error}"))
+        return
+    config = server.proxy.config
+    log.info(
+        LogEvent(
+            "config_reloaded",
+            changed=config.digest != before.digest,
+            **server.proxy.version_fields(),
+            max_clients=config.bounds.clients,
+            max_connections=config.bounds.endpoints,
+            max_held_bytes=config.bounds.held,
+        )
+    )
+
+
+def _start_background(proxy: Proxy, server: Server, signals: SignalActions) -> list[asyncio.Task[None]]:
+    chores = (
+        proxy.upstream.sweep(),
+        server.watch_clients(),
+        signals.watch(),
+        log_event_loop_lag(),
+        _log_status(proxy, server),
+    )
+    return [asyncio.create_task(chore) for chore in chores]
+
+
+def _freeze_heap() -> None:
+    """Exempt what lives from here to the end from collections."""
+    gc.collect()
+    gc.freeze()
+    gc.set_threshold(*GC_THRESHOLDS)
+
+
+async def _log_status(proxy: Proxy, server: Server) -> None:
+    while True:
+        await asyncio.sleep(STATUS_INTERVAL_S)
+        log.info(status_line(proxy, len(server.clients), server.most))
+
+
+def _log_serving(config: Config) -> None:
+    settings = config.settings
+    log.info(
+        LogEvent(
+            "serving",
+            name=config.name,
+            address=config.listen,
+            layer=settings.layer,
+            instance=settings.instance_index,
+            instances=settings.instance_count,
+            zone=settings.zone or "-",
+        )
+    )
+
+
+async def _log_ready(proxy: Proxy) -> None:
+    """Log once how long the start took, until `/up` answered 200."""
+    await proxy.endpoint_updates.has_endpoints.wait()
+    log.info(LogEvent("ready", after_s=process_age_s()))
+
+
+def process_age_s() -> float:
+    """Return how long ago this process was made: interpreter and imports are a part of every start."""
+    fields = Path("/proc/self/stat").read_text(encoding="utf-8").rpartition(")")[2].split()
+    started_s = int(fields[START_TIME_FIELD]) / os.sysconf("SC_CLK_TCK")
+    return time.clock_gettime(time.CLOCK_BOOTTIME) - started_s
--- a/corkdoor/sidecar/proxied_request.py
+++ b/corkdoor/sidecar/proxied_request.py
@@ -1,73 +1,124 @@
-"""A request that the sidecar has taken on, and the client that waits for its answer."""
+"""A request that the sidecar has accepted, its attempts, and the client that waits for its answer."""
 
 from __future__ import annotations
 
+from enum import auto
 from typing import Protocol
 
 from corkdoor.settings import RequestClass
 from corkdoor.sidecar.clock import Alarm, now_us
 from corkdoor.sidecar.upstream.attempt import Attempt
+from corkdoor.state_machine import ObjectState, TransitionTable
 
 ANSWER_MARGIN_US = 40_000  # an answer leaves this long before the client's deadline: its bytes take time too
-MARGIN_SHARE = 0.1  # but at most this share of the time that is left: of a short one much would be lost
+MARGIN_SHARE = 0.1  # but at most this share of the time that is left
+
+
+class RequestState(ObjectState):
+    """How far a request has come."""
+
+    OPEN = auto()  # an answer is owed
+    ANSWERED = auto()  # attempts may still be in flight
+    CANCELLED = auto()  # the client has disconnected; attempts may still be in flight
+    DONE = auto()  # nothing more can come of it
+
+
+REQUEST_STATES = TransitionTable(
+    "request",
+    {
+        RequestState.OPEN: frozenset((RequestState.ANSWERED, RequestState.CANCELLED)),
+        RequestState.ANSWERED: frozenset((RequestState.DONE,)),
+        RequestState.CANCELLED: frozenset((RequestState.DONE,)),
+        RequestState.DONE: frozenset(),
+    },
+)
 
 
 class Client(Protocol):
-    """Who asked: takes the one final answer."""
+    """Who sent a request; takes its one final answer."""
 
-    def answer(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None: ...
+    def answer(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
+        """Send the final answer."""
 
     def departed(self) -> bool:
-        """Whether it has gone away, though the loop may not have told so yet."""
-        ...
+        """Whether it has disconnected, though the event loop may not have said so yet."""
 
     def label(self) -> str:
-        """What the log names the request by that it waits for."""
-        ...
+        """Return what the log calls the request that it waits for."""
 
 
 class ProxiedRequest:
-    """One request that was taken, and its attempts."""
+    """One accepted request.
+
+    Args:
+        client: waits for the answer.
+        request_class: its class, as it stood when the request came.
+        tenant: whose it is; None: there are no tenants.
+        cost_hint_us: the processing time that the client expects, where it states one.
+        deadline_us: when the client gives up.
+        head: request line and header fields for endpoints, but for the time that is left.
+        body: its body.
+
+    Attributes:
+        request_id: given by the registry, unique within the process.
+        answer_by_us: when the answer leaves at the latest.
+        state: how far it has come.
+        attempts: all of them, in the order in which they were asked for.
+        timeout: goes off at `answer_by_us`.
+    """
 
     __slots__ = (
-        "alarm",
-        "answered",
+        "answer_by_us",
         "attempts",
         "body",
         "client",
+        "cost_hint_us",
         "deadline_us",
-        "due_us",
         "head",
-        "hint_us",
-        "out",
         "request_class",
         "request_id",
+        "state",
         "tenant",
-    )  # fmt: skip
+        "timeout",
+    )
 
     def __init__(
         self,
         client: Client,
         request_class: RequestClass,
         tenant: str | None,
-        hint_us: int | None,
+        cost_hint_us: int | None,
         deadline_us: int,
         head: bytes,
         body: bytes,
     ) -> None:
         self.client = client
-        self.request_class = request_class  # as it stood when the request came
+        self.request_class = request_class
         self.tenant = tenant
-        self.hint_us = hint_us
-        self.deadline_us = deadline_us  # when the client gives up
-        # When the answer leaves at the latest.
-        self.due_us = deadline_us - min(
-            ANSWER_MARGIN_US, max(0, int(MARGIN_SHARE * (deadline_us - now_us())))
-        )
-        self.head = head  # request line and headers for endpoints, but for the time that is left
+        self.cost_hint_us = cost_hint_us
+        self.deadline_us = deadline_us
+        margin_us = min(ANSWER_MARGIN_US, max(0, int(MARGIN_SHARE * (deadline_us - now_us()))))
+        self.answer_by_us = deadline_us - margin_us
+        self.head = head
         self.body = body
         self.request_id = ""
+        self.state = RequestState.OPEN
         self.attempts: list[Attempt] = []
-        self.out = 0  # attempts that have not ended
-        self.answered = False
-        self.alarm: Alarm | None = None
+        self.timeout: Alarm | None = None
+
+    @property
+    def closed(self) -> bool:
+        """Whether no answer is owed any more."""
+        return self.state is not RequestState.OPEN
+
+    def enter(self, state: RequestState) -> None:
+        """Go on to this state."""
+        self.state = REQUEST_STATES.check(self.state, state)
+
+    def has_attempts_in_flight(self) -> bool:
+        """Whether the outcome of any attempt is still to come."""
+        return any(not attempt.ended for attempt in self.attempts)
+
+    def remaining_ms(self) -> int:
+        """Return the time until the client gives up, in milliseconds."""
+        return (self.deadline_us - now_us()) // 1000
--- a/corkdoor/sidecar/server.py
+++ b/corkdoor/sidecar/server.py
@@ -133,7 +133,7 @@
         just so. Callers that send one request at a time are never met by this.
         """
         if self.current is not None:
-            self.server.proxy.gone(self.current)
+            self.server.proxy.cancel(self.current)
             if fault.status == 503:  # Rule 2: it would tell that the request in front never ran
                 fault = Rejected(500, str(fault))
         self._reject(fault)
@@ -151,7 +151,7 @@
         current, self.current = self.current, None
         if current is not None:
             self.server.forget(self.request_id)
-            self.server.proxy.gone(current)
+            self.server.proxy.cancel(current)
 
     def pause_writing(self) -> None:
         """Guards against answers that pile up unread: the next request waits until this one's has left."""
@@ -272,7 +272,7 @@
         self.server.fresh.pop(self, None)
         if request is not None:
             self.current = request
-            self.server.proxy.take(request)
+            self.server.proxy.accept(request)
 
     def _reject(self, fault: Rejected) -> None:
         self.keep = False
@@ -334,9 +334,9 @@
             return
         proxy = self.server.proxy
         if self.current is not None:
-            proxy.invariants.note_broken(Invariant.CLOSED_UNANSWERED, f"{self.label()}, {reason}")
+            proxy.invariants.record_broken(Invariant.CLOSED_UNANSWERED, f"request {self.label()}, {reason}")
             return
-        proxy.tally[f"closed {reason}"] += 1
+        proxy.counters[f"clients_closed_{reason}"] += 1
         if abort:
             self.transport.abort()
         else:
@@ -398,7 +398,7 @@
         return stalled or whole_s > max(FIRST_S, self.server.longest_s)
 
     def label(self) -> str:
-        return f"request {self.request_id.decode('latin-1')}"
+        return self.request_id.decode("latin-1")
 
     def departed(self) -> bool:
         """Whether the kernel has the caller's end, reset, close or half-close, whatever is unread before it.
--- a/corkdoor/sidecar/signals.py
+++ b/corkdoor/sidecar/signals.py
@@ -1,4 +1,4 @@
-"""Signals, also those that the event loop is not woken for."""
+"""Actions on signals, also on those that the event loop is not woken for."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 from collections.abc import Callable
 from types import FrameType
 
-CHECK_S = 0.2  # how often noted signals are looked for
+CHECK_INTERVAL_S = 0.2
 
 
 class SignalActions:
     """Carries out an action for each signal, on the loop.
 
-    The loop learns of a signal by a byte that the interpreter writes to a socket. Where that write fails, for
-    want of memory say, the loop would never learn of it, and a process that was told to end would be killed
-    at work. So the signal's handler notes it as well, and `watch` carries out what was noted and not done.
+    The loop learns of a signal by a byte that the interpreter writes to a socket. The handlers here note each
+    signal as well, and `watch` carries out what is noted and not done: it guards against the loss of a
+    signal whose write fails, for want of memory say.
     """
 
     def __init__(self) -> None:
         self._actions: dict[int, Callable[[], object]] = {}
-        self._noted: set[int] = set()
+        self._pending: set[int] = set()
 
     def handle(self, number: signal.Signals, action: Callable[[], object]) -> None:
         """Carry out `action` on the running loop whenever the signal comes."""
@@ -29,16 +29,16 @@
         signal.signal(number, self._note)
         signal.siginterrupt(number, False)  # as the loop has it: `signal.signal` lets system calls end early
 
-    def _note(self, number: int, frame: FrameType | None) -> None:
-        self._noted.add(number)
+    def _note(self, number: int, _frame: FrameType | None) -> None:
+        self._pending.add(number)
 
     def _run(self, number: int) -> None:
-        self._noted.discard(number)
+        self._pending.discard(number)
         self._actions[number]()
 
     async def watch(self) -> None:
         """Carry out what the loop was not woken for."""
         while True:
-            await asyncio.sleep(CHECK_S)
-            for number in tuple(self._noted):
+            await asyncio.sleep(CHECK_INTERVAL_S)
+            for number in tuple(self._pending):
                 self._run(number)
--- /dev/null
+++ b/corkdoor/sidecar/status_report.py
@@ -0,0 +1,36 @@
+"""The status line: what happened since the last one, and the state, for those on call."""
+
+from __future__ import annotations
+
+from collections import Counter
+
+from corkdoor.log_events import LogEvent
+from corkdoor.sidecar.clock import now_us
+from corkdoor.sidecar.proxy import Proxy
+from corkdoor.status import state
+
+
+def status_line(proxy: Proxy, clients: int, max_clients: int) -> str:
+    """Return the line, and begin to count anew."""
+    pools, freshness = proxy.upstream, proxy.balancer.discovery.freshness
+    fields: dict[str, object] = {
+        "clients": clients,
+        "max_clients": max_clients,
+        **proxy.version_fields(),
+        "requests": len(proxy.requests),
+        "connections": pools.open_connections,
+        "max_connections": pools.max_connections,
+        **proxy.endpoint_updates.list_fields(),
+        "longest_list_age_s": freshness.longest_us / 1e6,
+        **_drain(proxy.counters),
+        **{f"connections_{name}": count for name, count in _drain(pools.counters).items()},
+        **proxy.invariants.counts(),
+    }
+    return f"{LogEvent('status', **fields)} {state(proxy.balancer, now_us())}"
+
+
+def _drain(counters: Counter[str]) -> dict[str, int]:
+    """Return the counters by name, and set them back."""
+    counts = {name.replace(" ", "_"): count for name, count in sorted(counters.items())}
+    counters.clear()
+    return counts
--- a/corkdoor/sidecar/upstream/attempt.py
+++ b/corkdoor/sidecar/upstream/attempt.py
@@ -7,7 +7,7 @@
 
 from corkdoor.model import Outcome
 from corkdoor.sidecar.clock import Alarm, now_us
-from corkdoor.sidecar.invariants import Location
+from corkdoor.sidecar.resend_guard import Location
 from corkdoor.sidecar.upstream.connection import Connection
 from corkdoor.sidecar.upstream.response import Response
 from corkdoor.state_machine import ObjectState, TransitionTable
--- a/corkdoor/sidecar/upstream/manager.py
+++ b/corkdoor/sidecar/upstream/manager.py
@@ -189,7 +189,7 @@
 
     def _write(self, attempt: Attempt, connection: Connection, pool: EndpointPool) -> None:
         if not pool.ready:
-            self.invariants.note_broken(Invariant.SENT_TO_RETIRED, attempt.endpoint_id)
+            self.invariants.record_broken(Invariant.SENT_TO_REMOVED, attempt.endpoint_id)
         data = attempt.encode(attempt)
         if data is None or not pool.ready:
             pool.release(connection)
--- a/emulator/breakdown.py
+++ b/emulator/breakdown.py
@@ -20,16 +20,18 @@
 from corkdoor import balancer
 from corkdoor.policy.buckets import TokenBuckets
 from corkdoor.sidecar import __main__ as program
-from corkdoor.sidecar import clock, discovery, proxy, server
+from corkdoor.sidecar import clock, discovery, process, proxy, server
+from corkdoor.sidecar.attempt_sender import AttemptSender
+from corkdoor.sidecar.request_registry import RequestRegistry
 from corkdoor.sidecar.upstream.connection import Connection
 from corkdoor.sidecar.upstream.pool import EndpointPool
 from emulator.sidecar import VARIABLE
 
-# The step's name, its class, and its method.
-STEPS: tuple[tuple[str, type[Any], str], ...] = (
+# The step's name, its class or module, and its method or function.
+STEPS: tuple[tuple[str, Any, str], ...] = (
     ("read request", server.ClientConnection, "data_received"),
     ("admit", server.Server, "admit"),
-    ("host take", proxy.Proxy, "take"),
+    ("host take", RequestRegistry, "accept"),
     ("module order", balancer.Balancer, "on_request"),
     ("module in-use sum", balancer.Balancer, "_in_use"),
     ("module pick", balancer.Balancer, "_pick"),
@@ -39,14 +41,14 @@
     ("poll for staleness", Connection, "is_stale"),
     ("write to endpoint", Connection, "send"),
     ("read answer", Connection, "data_received"),
-    ("attempt ended", proxy.Proxy, "_ended"),
+    ("attempt ended", AttemptSender, "_on_end"),
     ("module reply", balancer.Balancer, "on_attempt_end"),
     ("write to caller", server.ClientConnection, "answer"),
     ("alarm set", clock.Alarm, "_arm"),
     ("alarm cancelled", clock.Alarm, "cancel"),
     ("chore: check callers", server.ClientConnection, "check"),
-    ("chore: report", proxy.Proxy, "report"),
-    ("list taken", proxy.Proxy, "on_list"),
+    ("chore: report", process, "status_line"),
+    ("list taken", proxy.Proxy, "on_watch_event"),
     ("watch", discovery.DiscoveryWatcher, "on_response"),
 )
 
--- a/emulator/hollow.py
+++ b/emulator/hollow.py
@@ -17,6 +17,7 @@
 import sys
 import time
 from collections import Counter
+from collections.abc import Sequence
 from dataclasses import replace
 from pathlib import Path
 
@@ -27,6 +28,7 @@
 
 from corkdoor.model import Outcome, WatchEventKind
 from corkdoor.settings_reader import read_settings
+from corkdoor.sidecar.balancer_events import notify
 from corkdoor.sidecar.bounds import Bounds
 from corkdoor.sidecar.clock import now_us
 from corkdoor.sidecar.config import Address, Config
@@ -102,14 +104,14 @@
         self.tries: dict[str, int] = {}
         self.dead = False
 
-    def on_list(self, form: WatchEventKind, entries: list[ResolvedEndpoint]) -> None:
-        super().on_list(form, entries)
-        if form in (WatchEventKind.FULL, WatchEventKind.DELTA):
+    def on_watch_event(self, kind: WatchEventKind, entries: Sequence[ResolvedEndpoint]) -> None:
+        super().on_watch_event(kind, entries)
+        if kind in (WatchEventKind.FULL, WatchEventKind.DELTA):
             self.process.told.append((self.number, self.watcher.generation, time.monotonic_ns()))
 
     def ask(self, call: str, class_name: str, deadline_us: int) -> None:
         """One synthetic call."""
-        self._tell(self.balancer.on_request, call, class_name, "acme", deadline_us, None)
+        notify(self.balancer.on_request, call, class_name, "acme", deadline_us, None)
 
     def send_attempt(self, request_id: str, endpoint_id: str, max_wait_us: int) -> None:
         number = self.tries[request_id] = self.tries.get(request_id, -1) + 1
@@ -123,7 +125,7 @@
         if self.tries.pop(call, None) is not None:
             self.process.ended["ok"] += 1
         spent = now_us() - sent_us
-        self._tell(self.balancer.on_attempt_end, call, number, endpoint, spent, True, Outcome.OK, None)
+        notify(self.balancer.on_attempt_end, call, number, endpoint, spent, True, Outcome.OK, None)
 
     def reject_request(self, request_id: str, retry_after_us: int) -> None:
         self.tries.pop(request_id, None)
--- a/emulator/microbench.py
+++ b/emulator/microbench.py
@@ -127,7 +127,7 @@
         settings = read_settings(SETTINGS)
         self.host = Proxy(Config("n0", nowhere, nowhere, 7, Bounds(500, 400, 1 << 24), known, settings))
         self.host.balancer.start(now_us())
-        self.host.on_list(WatchEventKind.CACHED, known.entries)
+        self.host.on_watch_event(WatchEventKind.CACHED, known.entries)
 
     def whole(self) -> ListCost:
         return self._cost([body_of(2, True, self.rows)] * 2, WatchEventKind.FULL)
@@ -152,7 +152,7 @@
 
         def take() -> None:
             nonlocal place
-            self.host.on_list(form, lists[place % 2].entries)
+            self.host.on_watch_event(form, lists[place % 2].entries)
             place += 1
 
         return ListCost(_batches(rounds, size, parse), _batches(rounds, size, take), len(bodies[0]))
--- a/faults/processes.py
+++ b/faults/processes.py
@@ -21,6 +21,7 @@
 
 ROOT = Path(__file__).parent.parent
 READY_S = 10.0
+GUARD_EVENTS = ("event=invariant_broken", "event=illegal_transition")
 WAKEUP_FAILED = ("signal wakeup fd", "_read_from_self")  # by the interpreter, and by the loop
 NEW_CLIENTS_S = (0.2, 0.4)  # after SIGTERM new ones keep coming for so long
 
@@ -139,14 +140,14 @@
         self.target.killed_s.append(asyncio.get_running_loop().time())
 
     def check_log(self) -> None:
-        """A guard that found an invariant broken, or a traceback, is a violation."""
+        """A guard that found an invariant broken, an illegal transition, or a traceback, is a violation."""
         log = (self.folder / "log").read_text(encoding="utf-8", errors="replace")
         before = ""
         for line in log.splitlines():
             # The interpreter's own word on a write that was made to fail: the signal is acted on anyway.
             of_wakeup, before = any(word in before for word in WAKEUP_FAILED), line
-            self.soak.oracle.counts["possible breaches noted"] += "invariant possibly broken" in line
-            if "invariant broken" in line or ("Traceback" in line and not of_wakeup):
+            self.soak.oracle.counts["possible breaches noted"] += "event=invariant_possibly_broken" in line
+            if any(event in line for event in GUARD_EVENTS) or ("Traceback" in line and not of_wakeup):
                 self.soak.oracle.violate(Promise.GUARDS, f"{self.target.name}: {line}", 0.0)
 
 
--- a/tests/sidecar_support.py
+++ b/tests/sidecar_support.py
@@ -326,7 +326,7 @@
     process = started(tmp_path, document, **variables)
     try:
         running = Program(process, endpoint, address)
-        await running.line_with("serves on")
+        await running.line_with("event=serving ")
         yield running
     finally:
         process.kill()
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -89,7 +89,7 @@
             client.writer.write(raw.encode("latin-1"))
             assert (await client.answer()).status == status
             assert await client.reader.read() == b""
-            assert sidecar.proxy.serial == 0
+            assert sidecar.proxy.requests.accepted == 0
             assert sidecar.endpoints[0].connections == 0
             assert sidecar.proxy.budget.held == 0
 
@@ -245,7 +245,7 @@
             second.send(body=b"x" * 700)
             answer = await second.answer()
             assert (answer.status, answer.headers["retry-after"]) == (503, "1")
-            assert sidecar.proxy.serial == 1
+            assert sidecar.proxy.requests.accepted == 1
             asked.reply()
             assert (await first.answer()).status == 200
             first.send(body=b"x" * 700)
@@ -266,7 +266,7 @@
             await sidecar.endpoints[0].next()
             client.send("pay", body=b"x" * 700)
             assert (await client.answer()).status == 500
-            assert sidecar.proxy.serial == 1
+            assert sidecar.proxy.requests.accepted == 1
 
     run(test())
 
@@ -317,7 +317,7 @@
         async with Sidecar() as sidecar:
             client = await sidecar.client()
             assert (await client.ask(class_name, **changes)).status == status
-            assert sidecar.proxy.serial == 0
+            assert sidecar.proxy.requests.accepted == 0
             assert sidecar.endpoints[0].connections == 0
 
     run(test())
@@ -331,7 +331,7 @@
                 b"GET /pay HTTP/1.1\r\nReq-Id: 1\r\nReq-Owner: acme\r\nReq-Deadline-Ms: 9\r\n\r\n"
             )
             assert (await client.answer()).status == 405
-            assert sidecar.proxy.serial == 0
+            assert sidecar.proxy.requests.accepted == 0
 
     run(test())
 
--- a/tests/test_crowding.py
+++ b/tests/test_crowding.py
@@ -6,7 +6,14 @@
 
 import pytest
 
-from corkdoor.sidecar import proxy, server
+from corkdoor.sidecar import (
+    attempt_sender,
+    balancer_events,
+    endpoint_updates,
+    proxy,
+    request_registry,
+    server,
+)
 from corkdoor.sidecar.clock import now_us
 from corkdoor.sidecar.upstream import attempt, connection, manager, pool
 from tests.sidecar_support import Asked, Client, Sidecar, run
@@ -17,7 +24,10 @@
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.us = now_us()
-        for module in (proxy, server, attempt, connection, manager, pool):
+        for module in (
+            *(attempt_sender, balancer_events, endpoint_updates, proxy, request_registry),
+            *(server, attempt, connection, manager, pool),
+        ):
             monkeypatch.setattr(module, "now_us", lambda: self.us)
         # A slow machine comes to look at callers that are not yet in use, and would close them by this clock.
         monkeypatch.setattr(server, "FIRST_S", 3600.0)
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -37,7 +37,7 @@
 def test_client_that_leaves_while_its_request_is_held_in_the_queue() -> None:
     async def test() -> None:
         async with Sidecar(endpoints=1) as sidecar:
-            sidecar.proxy.on_list(WatchEventKind.FULL, [])  # nothing to send to: calls are held
+            sidecar.proxy.on_watch_event(WatchEventKind.FULL, [])  # nothing to send to: calls are held
             client, other = await sidecar.client(), await sidecar.client()
             client.send(request_id="held")
             while not sidecar.proxy.balancer.queue.count:
@@ -49,7 +49,7 @@
                 "reset": True,
                 "instances": [row("s-0", sidecar.endpoints[0].address)],
             }
-            sidecar.proxy.on_list(WatchEventKind.FULL, read_endpoint_list(document).entries)
+            sidecar.proxy.on_watch_event(WatchEventKind.FULL, read_endpoint_list(document).entries)
             await only_this_arrives(sidecar, other)
 
     run(test())
@@ -188,13 +188,13 @@
 
 def nobody_listed(sidecar: Sidecar) -> None:
     """From here on calls are held, and the connections that rest are closed."""
-    sidecar.proxy.on_list(WatchEventKind.FULL, [])
+    sidecar.proxy.on_watch_event(WatchEventKind.FULL, [])
 
 
 def all_listed(sidecar: Sidecar) -> None:
     rows = [row(f"s-{i}", fake.address) for i, fake in enumerate(sidecar.endpoints)]
     document = {"generation": 2, "reset": True, "instances": rows}
-    sidecar.proxy.on_list(WatchEventKind.FULL, read_endpoint_list(document).entries)
+    sidecar.proxy.on_watch_event(WatchEventKind.FULL, read_endpoint_list(document).entries)
 
 
 async def warm(sidecar: Sidecar, each: int) -> None:
@@ -236,7 +236,7 @@
             await noticed(sidecar)
             assert sidecar.proxy.upstream.counters["opened"] == 0
             await only_this_arrives(sidecar, other)
-            assert sidecar.proxy.tally["gone"] == 1
+            assert sidecar.proxy.counters["client_disconnects"] == 1
             assert not sidecar.proxy.requests
             client.close()
 
@@ -286,7 +286,7 @@
                 await asyncio.sleep(0.01)
             await noticed(sidecar)
             await only_this_arrives(sidecar, other)
-            assert sidecar.proxy.tally["not_sent"] == 1
+            assert sidecar.proxy.counters["attempts_not_sent"] == 1
             assert not sidecar.proxy.requests
             client.close()
 
@@ -367,7 +367,7 @@
             for task in serving:
                 task.cancel()
             assert sorted(arrived) == sorted(f"stays-{n}" for n in range(0, 100, 2))
-            assert sidecar.proxy.tally["gone"] == 50
+            assert sidecar.proxy.counters["client_disconnects"] == 50
             assert not sidecar.proxy.requests
 
     run(test())
--- a/tests/test_draining.py
+++ b/tests/test_draining.py
@@ -11,18 +11,14 @@
 
 import pytest
 
-from corkdoor.sidecar import __main__ as entry
+from corkdoor.sidecar import graceful_shutdown
+from corkdoor.sidecar.graceful_shutdown import ShutdownTimeouts, shut_down
 from tests.sidecar_support import Client, Sidecar, program, run
 
-
-@pytest.fixture
-def short(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A drain that is over soon."""
-    monkeypatch.setattr(entry, "ACCEPT_S", 0.0)
-    monkeypatch.setattr(entry, "LONGEST_S", 0.3)
-    monkeypatch.setattr(entry, "AFTER_LONGEST_S", 0.0)
-    monkeypatch.setattr(entry, "SERVE_SHARE", 0.1)
-    monkeypatch.setattr(entry, "FLUSH_S", 5.0)  # ample for a slow machine; it ends when all callers are gone
+# Over soon; the last wait is ample for a slow machine, and ends when all clients have left.
+SHORT = ShutdownTimeouts(
+    max_deadline_s=0.3, answer_grace_s=0.0, serving_share=0.1, min_serving_s=0.0, flush_s=5.0
+)
 
 
 class At(logging.Handler):
@@ -41,12 +37,12 @@
 @pytest.fixture
 def at(caplog: pytest.LogCaptureFixture) -> Callable[[str, Callable[[], None]], None]:
     caplog.set_level(logging.INFO)
-    return lambda text, act: entry.log.addHandler(At(text, act))
+    return lambda text, act: graceful_shutdown.log.addHandler(At(text, act))
 
 
 @pytest.fixture(autouse=True)
 def no_handlers_left() -> None:
-    entry.log.handlers.clear()
+    graceful_shutdown.log.handlers.clear()
 
 
 REQUEST = (
@@ -56,7 +52,7 @@
 
 
 def test_connections_that_nobody_has_accepted_yet_are_served(
-    short: None, at: Callable[[str, Callable[[], None]], None]
+    at: Callable[[str, Callable[[], None]], None],
 ) -> None:
     """The kernel has accepted them, so what they ask is taken: closing the listener would reset them."""
 
@@ -69,8 +65,8 @@
                     callers.append(socket.create_connection(("127.0.0.1", sidecar.port)))
                     callers[-1].sendall(REQUEST % i)
 
-            at("drain: 0 callers", connect)
-            drain = asyncio.create_task(entry.drain(sidecar.server, sidecar.proxy))
+            at("event=shutdown_closing clients=0 ", connect)
+            drain = asyncio.create_task(shut_down(sidecar.server, sidecar.proxy, SHORT))
             for _ in range(3):
                 (await sidecar.endpoints[0].next()).reply()
             for sock in callers:
@@ -81,7 +77,7 @@
     run(test())
 
 
-def test_requests_that_wait_behind_one_that_ends_are_turned_away_unsent(short: None) -> None:
+def test_requests_that_wait_behind_one_that_ends_are_turned_away_unsent() -> None:
     async def test() -> None:
         async with Sidecar() as sidecar:
             client = await sidecar.client()
@@ -91,7 +87,7 @@
             client.send(deadline_ms=30_000)
             while sum(len(caller.waiting) for caller in sidecar.server.clients) < 2:
                 await asyncio.sleep(0.01)
-            await entry.drain(sidecar.server, sidecar.proxy)
+            await shut_down(sidecar.server, sidecar.proxy, SHORT)
             assert [(await client.answer()).status for _ in range(3)] == [504, 503, 503]
             assert await client.reader.read() == b""
             assert sidecar.endpoints[0].asked.empty()
@@ -100,7 +96,7 @@
     run(test())
 
 
-def test_request_that_has_come_in_part_is_turned_away(short: None) -> None:
+def test_request_that_has_come_in_part_is_turned_away() -> None:
     """Its last byte may come in the last moment: it would be taken then, and never answered."""
 
     async def test() -> None:
@@ -109,7 +105,7 @@
             client.writer.write(REQUEST[:-1] % 1)
             while not any(caller.receiving for caller in sidecar.server.clients):
                 await asyncio.sleep(0.01)
-            drain = asyncio.create_task(entry.drain(sidecar.server, sidecar.proxy))
+            drain = asyncio.create_task(shut_down(sidecar.server, sidecar.proxy, SHORT))
             answer = await client.answer()
             assert (answer.status, answer.headers["connection"]) == (503, "close")
             client.writer.close()
@@ -120,7 +116,7 @@
 
 
 def test_request_that_comes_as_the_process_ends_is_turned_away_unsent(
-    short: None, at: Callable[[str, Callable[[], None]], None]
+    at: Callable[[str, Callable[[], None]], None],
 ) -> None:
     """Seen in the code: it was sent on, and the process ended before its answer."""
 
@@ -132,8 +128,8 @@
             late.sendall(REQUEST[:-1] % 1)
             while not any(caller.receiving for caller in sidecar.server.clients):
                 await asyncio.sleep(0.01)
-            at("drain: ends", lambda: late.sendall(b"x" + REQUEST % 2))
-            await entry.drain(sidecar.server, sidecar.proxy)
+            at("event=shutdown_rejecting ", lambda: late.sendall(b"x" + REQUEST % 2))
+            await shut_down(sidecar.server, sidecar.proxy, SHORT)
             client = Client(*await asyncio.open_connection(sock=late))
             assert (await client.answer()).status == 503
             assert (await busy.answer()).status == 504
@@ -148,7 +144,7 @@
     async def test() -> None:
         async with program(tmp_path, {}) as running:
             running.process.send_signal(signal.SIGTERM)
-            await running.line_with("drain: ends")
+            await running.line_with("event=shutdown_rejecting ")
             while running.process.poll() is None:
                 running.process.send_signal(signal.SIGHUP)
             assert running.process.returncode == 0
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -82,7 +82,7 @@
                 if form is WatchEventKind.DELTA:
                     rows += [row(f"s-{i}", address, "draining"), row(f"s-{i}", address, "gone")]
                 listing = read_endpoint_list({"generation": i, "reset": False, "instances": rows})
-                sidecar.proxy.on_list(form, listing.entries)
+                sidecar.proxy.on_watch_event(form, listing.entries)
             assert list(sidecar.proxy.upstream.pools) == ["s-50"]
             assert list(sidecar.proxy.balancer.endpoints) == ["s-50"]
 
@@ -100,7 +100,7 @@
             old = await fake.next()
             rows = [row("s-0", fake.address, "gone"), row("s-1", fake.address)]
             listing = read_endpoint_list({"generation": 2, "reset": False, "instances": rows})
-            sidecar.proxy.on_list(WatchEventKind.DELTA, listing.entries)
+            sidecar.proxy.on_watch_event(WatchEventKind.DELTA, listing.entries)
             balancer = sidecar.proxy.balancer
             assert set(balancer.endpoints) == {"s-0", "s-1"}  # one has something out
             new_client.send()
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -9,14 +9,8 @@
 
 from corkdoor.model import DeduplicationScope, Idempotency, Outcome
 from corkdoor.settings import Limits, RequestClass
-from corkdoor.sidecar.invariants import (
-    HELD_UP_US,
-    Invariant,
-    InvariantLog,
-    Location,
-    Sent,
-    may_repeat,
-)
+from corkdoor.sidecar.invariants import Invariant, InvariantLog
+from corkdoor.sidecar.resend_guard import MAX_SEND_DELAY_US, Location, SentAttempt, may_send_again
 from tests.sidecar_support import Sidecar, first_asked, one_attempt, run
 
 S = 1_000_000
@@ -30,8 +24,8 @@
     return RequestClass("hold", S, 3 * S, Idempotency.WITH_KEY, deduplication_scope, WINDOW_US)
 
 
-def ended(outcome: Outcome | None, at_us: int = 10 * S, location: Location = HERE) -> Sent:
-    return Sent(at_us, location, outcome)
+def ended(outcome: Outcome | None, at_us: int = 10 * S, location: Location = HERE) -> SentAttempt:
+    return SentAttempt(at_us, location, outcome)
 
 
 ONE_AT_A_TIME = Limits(hedging_allowed=False)
@@ -41,7 +35,7 @@
 @pytest.mark.parametrize("outcome", list(Outcome))
 def test_unsafe_request_is_repeated_only_where_it_surely_never_ran(outcome: Outcome) -> None:
     never_ran = outcome in (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
-    assert may_repeat(UNSAFE, COPIES, [ended(outcome)], HERE, 10 * S) is never_ran
+    assert may_send_again(UNSAFE, COPIES, [ended(outcome)], HERE, 10 * S) is never_ran
 
 
 @pytest.mark.parametrize(
@@ -56,37 +50,37 @@
 def test_second_attempt_beside_one_that_is_out(
     class_name: RequestClass, limits: Limits, allowed: bool
 ) -> None:
-    assert may_repeat(class_name, limits, [ended(None)], HERE, 10 * S) is allowed
+    assert may_send_again(class_name, limits, [ended(None)], HERE, 10 * S) is allowed
 
 
 @pytest.mark.parametrize("deduplication_scope", list(DeduplicationScope))
 def test_keyed_request_stays_in_its_window_and_group(deduplication_scope: DeduplicationScope) -> None:
     first = [ended(Outcome.TIMEOUT)]
-    last_us = 10 * S + WINDOW_US - HELD_UP_US
-    assert may_repeat(keyed(deduplication_scope), ONE_AT_A_TIME, first, HERE, last_us)
-    assert not may_repeat(keyed(deduplication_scope), ONE_AT_A_TIME, first, HERE, last_us + 1)
-    assert may_repeat(keyed(deduplication_scope), ONE_AT_A_TIME, first, SAME_ZONE, last_us) is (
+    last_us = 10 * S + WINDOW_US - MAX_SEND_DELAY_US
+    assert may_send_again(keyed(deduplication_scope), ONE_AT_A_TIME, first, HERE, last_us)
+    assert not may_send_again(keyed(deduplication_scope), ONE_AT_A_TIME, first, HERE, last_us + 1)
+    assert may_send_again(keyed(deduplication_scope), ONE_AT_A_TIME, first, SAME_ZONE, last_us) is (
         deduplication_scope is not DeduplicationScope.CELL
     )
-    assert may_repeat(keyed(deduplication_scope), ONE_AT_A_TIME, first, ELSEWHERE, last_us) is (
+    assert may_send_again(keyed(deduplication_scope), ONE_AT_A_TIME, first, ELSEWHERE, last_us) is (
         deduplication_scope is DeduplicationScope.ALL
     )
 
 
 def test_window_counts_from_the_earliest_attempt_that_may_have_run() -> None:
     sent = [ended(Outcome.REJECTED, 1 * S), ended(Outcome.TIMEOUT, 5 * S), ended(Outcome.ERROR, 6 * S)]
-    last_us = 5 * S + WINDOW_US - HELD_UP_US
-    assert may_repeat(keyed(DeduplicationScope.ALL), ONE_AT_A_TIME, sent, HERE, last_us)
-    assert not may_repeat(keyed(DeduplicationScope.ALL), ONE_AT_A_TIME, sent, HERE, last_us + 1)
+    last_us = 5 * S + WINDOW_US - MAX_SEND_DELAY_US
+    assert may_send_again(keyed(DeduplicationScope.ALL), ONE_AT_A_TIME, sent, HERE, last_us)
+    assert not may_send_again(keyed(DeduplicationScope.ALL), ONE_AT_A_TIME, sent, HERE, last_us + 1)
 
 
 def test_broken_and_prevented_are_counted_apart_and_told(caplog: pytest.LogCaptureFixture) -> None:
     invariants = InvariantLog()
-    assert invariants.summary() == "invariants: all held"
+    assert invariants.counts() == {}
     with caplog.at_level(logging.INFO):
-        invariants.note_prevented(Invariant.SENT_AFTER_DEPARTURE, "request r-1 to s-1")
-        invariants.note_broken(Invariant.CLOSED_UNANSWERED, "request r-2, idle")
-    assert invariants.summary() == "invariants: broken closed_unanswered 1, prevented sent_after_departure 1"
+        invariants.record_prevented(Invariant.SENT_AFTER_DISCONNECT, "request r-1 to s-1")
+        invariants.record_broken(Invariant.CLOSED_UNANSWERED, "request r-2, idle")
+    assert invariants.counts() == {"broken_closed_unanswered": 1, "prevented_sent_after_disconnect": 1}
     assert [(record.levelname, "r-1" in record.message) for record in caplog.records] == [
         ("INFO", True),
         ("ERROR", False),
@@ -102,9 +96,9 @@
             (call,) = sidecar.proxy.requests
             sidecar.proxy.send_attempt(call, "s-1", 0)
             sidecar.proxy.send_attempt(call, "s-0", 0)
-            while len(sidecar.proxy.requests[call].attempts) < 3 or sidecar.proxy.requests[call].out > 1:
+            while sum(a.ended for a in sidecar.proxy.requests[call].attempts) < 2:
                 await asyncio.sleep(0.01)
-            assert sidecar.proxy.invariants.prevented[Invariant.REPEATED_UNSAFELY] == 2
+            assert sidecar.proxy.invariants.prevented[Invariant.UNSAFE_RETRY] == 2
             assert all(fake.asked.empty() for fake in sidecar.endpoints)
             client.writer.close()
 
@@ -135,5 +129,7 @@
 
     with caplog.at_level(logging.INFO):
         run(test())
-    (line,) = [record.message for record in caplog.records if "request told" in record.message]
-    assert "answered 502" in line and " rejected " in line and " error " in line
+    (line,) = [record.message for record in caplog.records if "request=told" in record.message]
+    assert line.startswith("event=request_failed request=told status=502 ")
+    assert ":rejected:" in line
+    assert ":error:" in line
--- a/tests/test_list_freshness.py
+++ b/tests/test_list_freshness.py
@@ -11,6 +11,7 @@
 from corkdoor.policy.list_freshness import MOVED_AFTER_US, NEVER_US, TOLD_AFTER_US, ListFreshness
 from corkdoor.settings import LifecycleRules
 from corkdoor.sidecar.invariants import Invariant
+from corkdoor.sidecar.status_report import status_line
 from tests.sidecar_support import Sidecar, listing, row, run
 from tests.support import MS, S, settings
 
@@ -87,15 +88,17 @@
             await client.answer()
             asking.reply(200, listing(9, False, row("s-0", sidecar.endpoints[0].address, "draining")))
             await sidecar.discovery.next()
-            found = sidecar.proxy.invariants.possible
-            assert found == ({Invariant.SENT_UNTOLD: 1} if late else {})
-            report = sidecar.proxy.report()
-            assert ("possible sent_untold 1" in report) is late
-            assert "list rejected 1" in report and "list delta 1" in report
+            found = sidecar.proxy.invariants.possibly_broken
+            assert found == ({Invariant.SENT_UNNOTIFIED: 1} if late else {})
+            status = status_line(sidecar.proxy, 0, 0)
+            assert ("possibly_broken_sent_unnotified=1" in status) is late
+            assert "watch_events_rejected=1" in status and "watch_events_delta=1" in status
             await asyncio.sleep(0)
 
     run(test())
-    lines = [record.message for record in caplog.records if "possibly broken" in record.message]
+    lines = [
+        record.message for record in caplog.records if "event=invariant_possibly_broken" in record.message
+    ]
     assert len(lines) == late
     for line in lines:
         assert (
--- a/tests/test_live_settings.py
+++ b/tests/test_live_settings.py
@@ -17,6 +17,7 @@
 from corkdoor.sidecar import server
 from corkdoor.sidecar.bounds import Bounds
 from corkdoor.sidecar.config import Config, ConfigError, load
+from corkdoor.sidecar.status_report import status_line
 from corkdoor.sidecar.upstream.connection import Connection
 from corkdoor.sidecar.upstream.manager import PoolManager
 from tests.sidecar_support import SETUP, Client, Fake, Program, Sidecar, listing, program, ready, row, run
@@ -64,7 +65,7 @@
                     asked.reply()
             reload(sidecar, digest="last")
             assert [(await client.answer()).status for client in clients] == [200] * 200
-            assert sidecar.proxy.changes == 21
+            assert sidecar.proxy.settings_changes == 21
             assert len(sidecar.server.clients) == 200
             assert sidecar.proxy.upstream.open_connections == opened
             assert queue.empty()
@@ -163,7 +164,7 @@
             reload(sidecar, Allowed={**SETUP["Allowed"], "ConnectTimeoutUs": 20_000})
             client = await sidecar.client()
             assert (await client.ask(deadline_ms=60_000)).status == 503
-            assert sidecar.proxy.tally["connect_failed"]
+            assert sidecar.proxy.counters["attempts_connect_failed"]
 
     run(test())
 
@@ -291,10 +292,11 @@
     async def test() -> None:
         async with Sidecar() as sidecar:
             monkeypatch.setattr(sidecar.proxy.balancer, "reconfigure", None)
-            version = sidecar.proxy.version()
+            version = sidecar.proxy.version_fields()
             sidecar.server.reload(changed(sidecar, digest=sidecar.proxy.config.digest))
-            assert sidecar.proxy.version() == version
-            assert version in sidecar.proxy.report()
+            assert sidecar.proxy.version_fields() == version
+            stated = " ".join(f"{key}={value}" for key, value in version.items())
+            assert f" {stated} " in status_line(sidecar.proxy, 0, 0)
 
     run(test())
 
@@ -402,7 +404,7 @@
             await asyncio.gather(*load)
             serving.cancel()
             assert set(statuses) == {200}
-            await running.line_with("figures: callers 12 of")  # connections that never closed
+            await running.line_with("event=status clients=12 ")  # connections that never closed
 
     run(test())
 
@@ -416,7 +418,7 @@
             hang_up(running)
             digest = write(tmp_path, Categories=[{**PAY, "Name": "new"}])
             hang_up(running)
-            await running.line_with(f": settings {digest}")
+            await running.line_with(f" settings={digest} ")
             client = await running.client()
             client.send("new")
             (await running.endpoint.next()).reply()
@@ -435,14 +437,14 @@
             whole = file.read_text(encoding="utf-8")
             file.write_text(whole[: len(whole) // 2], encoding="utf-8")
             hang_up(running)
-            await running.line_with("the configuration is not taken: GW_CONFIG")
+            await running.line_with("event=config_rejected key=GW_CONFIG ")
             client = await running.client()
             client.send("pay")
             (await running.endpoint.next()).reply()
             assert (await client.answer()).status == 200
             file.write_text(whole, encoding="utf-8")
             hang_up(running)
-            await running.line_with(f"settings in force: settings {digest}")
+            await running.line_with(f"event=config_reloaded changed=True settings={digest} ")
             client.send("new")
             (await running.endpoint.next()).reply()
             assert (await client.answer()).status == 200
@@ -451,16 +453,16 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "why"),
+    ("change", "key", "reason"),
     [
-        ({"name": "n1"}, "name: n0 can't become n1"),
-        ({"settings": {**SETUP, "Layer": 1, "Tiers": ["a", "b"]}}, "settings: Layer: 0 can't become 1"),
-        ({"settings": {**SETUP, "Categories": []}}, "settings: Categories"),
-        ({"limits": {"sockets": 0}}, "limits.sockets"),
+        ({"name": "n1"}, "name", "n0 can't become n1"),
+        ({"settings": {**SETUP, "Layer": 1, "Tiers": ["a", "b"]}}, '"settings: Layer"', "0 can't become 1"),
+        ({"settings": {**SETUP, "Categories": []}}, "settings", "Categories"),
+        ({"limits": {"sockets": 0}}, "limits.sockets", "impossible value 0"),
     ],
 )
 def test_a_file_that_is_not_taken_is_logged_with_its_reason(
-    tmp_path: Path, change: dict[str, Any], why: str
+    tmp_path: Path, change: dict[str, Any], key: str, reason: str
 ) -> None:
     async def test() -> None:
         async with program(tmp_path, {}) as running:
@@ -468,7 +470,7 @@
             document = copy.deepcopy(json.loads(file.read_text(encoding="utf-8")))
             file.write_text(json.dumps({**document, **change}), encoding="utf-8")
             hang_up(running)
-            await running.line_with(f"the configuration is not taken: {why}")
+            await running.line_with(f'event=config_rejected key={key} reason="{reason}')
             client = await running.client()
             client.send("pay")
             (await running.endpoint.next()).reply()
@@ -488,7 +490,7 @@
             while await ready(other) == 200:
                 await asyncio.sleep(0.001)
             hang_up(running)
-            await running.line_with(f"settings in force: settings {digest}")
+            await running.line_with(f"event=config_reloaded changed=True settings={digest} ")
             asked.reply()
             assert (await client.answer()).status == 200
             assert await asyncio.to_thread(running.process.wait) == 0
--- a/tests/test_other_settings.py
+++ b/tests/test_other_settings.py
@@ -25,7 +25,7 @@
     """A margin of 40 ms ended a request of 40 ms before it was sent anywhere."""
     before = now_us()
     request = ProxiedRequest(Nobody(), SAFE, None, None, before + 40 * MS, b"", b"")
-    assert before + 30 * MS < request.due_us < request.deadline_us
+    assert before + 30 * MS < request.answer_by_us < request.deadline_us
 
 
 @pytest.mark.parametrize("turned_away", [Outcome.REJECTED, Outcome.CONNECT_FAILED])
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -137,7 +137,7 @@
             good = file.read_text(encoding="utf-8")
             file.write_text(bad, encoding="utf-8")
             running.process.send_signal(signal.SIGHUP)
-            await running.line_with("the configuration is not taken")
+            await running.line_with("event=config_rejected ")
             assert first.ends.empty()
             file.write_text(good.replace(first.address, second.address), encoding="utf-8")
             running.process.send_signal(signal.SIGHUP)
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -15,11 +15,13 @@
 
 from corkdoor.model import Readiness, WatchEventKind
 from corkdoor.settings_reader import read_settings
-from corkdoor.sidecar import __main__ as entry
 from corkdoor.sidecar import proxied_request
 from corkdoor.sidecar.clock import Alarm, now_us
 from corkdoor.sidecar.discovery import read_endpoint_list
+from corkdoor.sidecar.event_loop_lag import log_event_loop_lag
+from corkdoor.sidecar.log_limits import MAX_LINES_PER_S, LineRateFilter
 from corkdoor.sidecar.proxied_request import ProxiedRequest
+from corkdoor.sidecar.status_report import status_line
 from tests.sidecar_support import (
     SETUP,
     Fake,
@@ -285,9 +287,9 @@
     async def test() -> None:
         async with Sidecar() as sidecar:
             caller = Answers()
-            sidecar.proxy.take(direct(caller))
+            sidecar.proxy.accept(direct(caller))
             listed = read_endpoint_list(json.loads(listing(2, False, row("s-0", "127.0.0.1:1", "draining"))))
-            sidecar.proxy.on_list(WatchEventKind.DELTA, listed.entries)
+            sidecar.proxy.on_watch_event(WatchEventKind.DELTA, listed.entries)
             assert await caller.all.get() == 503
             assert sidecar.endpoints[0].asked.empty()
 
@@ -316,30 +318,28 @@
     run(test())
 
 
-def test_lag_of_the_loop_is_logged(monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture) -> None:
+def test_lag_of_the_loop_is_logged(caplog: pytest.LogCaptureFixture) -> None:
     async def test() -> None:
-        monkeypatch.setattr(entry, "LAG_EVERY_S", 0.01)
-        monkeypatch.setattr(entry, "LAG_LOG_S", 0.02)
-        watch = asyncio.create_task(entry.watch_lag())
+        watch = asyncio.create_task(log_event_loop_lag(check_interval_s=0.01, log_interval_s=0.02))
         await asyncio.sleep(0)
         time.sleep(0.1)  # what a slow handler does to all requests
         while not caplog.records:
             await asyncio.sleep(0.01)
         watch.cancel()
-        assert caplog.messages[0].startswith("the event loop was late by up to")
+        assert caplog.messages[0].startswith("event=event_loop_lag max_ms=")
 
     run(test())
 
 
 def test_log_lets_few_lines_through_each_second() -> None:
-    sparse = entry.Sparse()
+    rate_filter = LineRateFilter()
     fields = {"levelno": logging.WARNING}
     records = [logging.makeLogRecord({"created": 7.0 + i / 1000, **fields}) for i in range(1001)]
-    passed = [record for record in records if sparse.filter(record)]
-    assert len(passed) == entry.LINES_PER_S + 1  # the last record is of the next second
+    passed = [record for record in records if rate_filter.filter(record)]
+    assert len(passed) == MAX_LINES_PER_S + 1  # the last record is of the next second
     assert passed[-1] is records[-1]
     errors = [logging.makeLogRecord({"created": 7.5, "levelno": logging.ERROR}) for _ in range(100)]
-    assert all(map(sparse.filter, errors))  # an invariant that broke must be told
+    assert all(map(rate_filter.filter, errors))  # an invariant that broke must be told
 
 
 # --- the process ---
@@ -409,8 +409,10 @@
                 client.send("pay")
                 (await sidecar.endpoints[0].next()).reply()
                 assert (await client.answer()).status == 200
-            line = sidecar.proxy.report()
-            assert "200 2, ok 2; opened 1, reused 1;" in line
-            assert "200 2" not in sidecar.proxy.report()
+            line = status_line(sidecar.proxy, 1, 500)
+            assert line.startswith("event=status clients=1 max_clients=500 settings=")
+            counted = "attempts_ok=2 responses_200=2 watch_events_cached=1"
+            assert f" {counted} connections_opened=1 connections_reused=1 " in line
+            assert "responses_200" not in status_line(sidecar.proxy, 1, 500)
 
     run(test())
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from corkdoor.sidecar.signals import CHECK_S, SignalActions
+from corkdoor.sidecar.signals import CHECK_INTERVAL_S, SignalActions
 from tests.sidecar_support import run
 
 
@@ -28,12 +28,12 @@
             for _ in range(2):
                 begun = time.monotonic()
                 os.kill(os.getpid(), signal.SIGUSR1)
-                async with asyncio.timeout(10 * CHECK_S):
+                async with asyncio.timeout(10 * CHECK_INTERVAL_S):
                     assert await came.get() >= begun
         finally:
             if not wakes:
                 signal.set_wakeup_fd(wakeup)
-            await asyncio.sleep(2 * CHECK_S)
+            await asyncio.sleep(2 * CHECK_INTERVAL_S)
             watch.cancel()
         assert came.empty()  # each once
 
--- a/tests/test_unsafe.py
+++ b/tests/test_unsafe.py
@@ -72,9 +72,11 @@
                 dead.close()
             async with Sidecar(endpoints=1, Allowed=ALLOWED) as sidecar:
                 both = rows(row("bad", address), row("s-0", sidecar.endpoints[0].address))
-                sidecar.proxy.on_list(WatchEventKind.FULL, read_endpoint_list(both).entries)
+                sidecar.proxy.on_watch_event(WatchEventKind.FULL, read_endpoint_list(both).entries)
                 client = await sidecar.client()
-                while not sidecar.proxy.tally["connect_failed"]:  # each draws its endpoint at random
+                while not sidecar.proxy.counters[
+                    "attempts_connect_failed"
+                ]:  # each draws its endpoint at random
                     client.send()
                     (await sidecar.endpoints[0].next()).reply()
                     assert (await client.answer()).status == 200
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -14,7 +14,8 @@
 from corkdoor.sidecar import proxied_request
 from corkdoor.sidecar.bounds import Budget
 from corkdoor.sidecar.discovery import ResolvedEndpoint, read_endpoint_list
-from corkdoor.sidecar.invariants import InvariantLog, Location
+from corkdoor.sidecar.invariants import InvariantLog
+from corkdoor.sidecar.resend_guard import Location
 from corkdoor.sidecar.upstream import manager
 from corkdoor.sidecar.upstream.attempt import Attempt
 from corkdoor.sidecar.upstream.manager import PoolLimits, PoolManager
@@ -215,10 +216,10 @@
         async with Sidecar(endpoints=2) as sidecar:
             before, after = sidecar.endpoints
             client = await sidecar.client()
-            sidecar.proxy.on_list(WatchEventKind.FULL, listed(row("s-0", before.address)))
+            sidecar.proxy.on_watch_event(WatchEventKind.FULL, listed(row("s-0", before.address)))
             client.send()
             asked = await before.next()
-            sidecar.proxy.on_list(WatchEventKind.FULL, listed(row("s-0", after.address, started_ms=1)))
+            sidecar.proxy.on_watch_event(WatchEventKind.FULL, listed(row("s-0", after.address, started_ms=1)))
             asked.reply()
             assert (await client.answer()).status == 200
             client.send()
