--- a/corkdoor/sidecar/config.py
+++ b/corkdoor/sidecar/config.py
@@ -15,7 +15,7 @@
 from corkdoor.settings import Settings
 from corkdoor.settings_reader import read_settings
 from corkdoor.sidecar.bounds import Bounds
-from corkdoor.sidecar.discovery import EndpointList, read_endpoint_list
+from corkdoor.sidecar.discovery.endpoint_list import EndpointList, read_endpoint_list
 
 DEFAULT_MAX_SOCKETS = 1024
 DEFAULT_MEMORY_MB = 192
--- a/corkdoor/sidecar/endpoint_updates.py
+++ b/corkdoor/sidecar/endpoint_updates.py
@@ -12,7 +12,8 @@
 from corkdoor.model import Readiness, WatchEventKind
 from corkdoor.sidecar.balancer_events import notify
 from corkdoor.sidecar.clock import now_us
-from corkdoor.sidecar.discovery import DiscoveryWatcher, ResolvedEndpoint
+from corkdoor.sidecar.discovery.endpoint_list import ResolvedEndpoint
+from corkdoor.sidecar.discovery.watcher import DiscoveryWatcher
 from corkdoor.sidecar.invariants import Invariant, InvariantLog
 from corkdoor.sidecar.upstream.manager import PoolManager
 
@@ -70,7 +71,7 @@
             "list_version": watcher.generation,
             "discovery": f"{watcher.host}:{watcher.port}",
             "list_age_s": freshness.age_us(now_us()) / 1e6,
-            "failed_calls": freshness.failures,
+            "failed_calls": freshness.consecutive_failures,
         }
 
     def _remove(self, endpoint_id: str, change: str, kind: WatchEventKind) -> None:
@@ -78,8 +79,9 @@
         pool = self._pools.remove_endpoint(endpoint_id)
         if pool is None or kind is WatchEventKind.CACHED or pool.last_sent_us is None:
             return
-        late_us = pool.last_sent_us - self._balancer.discovery.freshness.breach_possible_since_us()
-        if late_us > 0:
+        breach_since_us = self._balancer.discovery.freshness.breach_possible_since_us()
+        if breach_since_us is not None and pool.last_sent_us > breach_since_us:
+            late_us = pool.last_sent_us - breach_since_us
             sent = f"request {pool.last_sent} to {endpoint_id}"
             missed = f"{late_us / 1e6:.2f} s late if its change ({change}) was missed first"
             source = f"notified by {kind.name.lower()} of version {self._watcher.generation}"
--- a/corkdoor/sidecar/proxy.py
+++ b/corkdoor/sidecar/proxy.py
@@ -12,12 +12,14 @@
 from corkdoor.balancer import Balancer
 from corkdoor.log_events import LogEvent
 from corkdoor.model import DiscoveryMode, Timer, WatchEventKind
+from corkdoor.policy.discovery.connect_timeout import connect_timeout_s
 from corkdoor.sidecar.attempt_sender import AttemptSender
 from corkdoor.sidecar.balancer_events import notify
 from corkdoor.sidecar.bounds import Budget
 from corkdoor.sidecar.clock import Alarm, now_us
 from corkdoor.sidecar.config import Address, Config, require_unchanged
-from corkdoor.sidecar.discovery import DiscoveryWatcher, ResolvedEndpoint, connect_limit_s
+from corkdoor.sidecar.discovery.endpoint_list import ResolvedEndpoint
+from corkdoor.sidecar.discovery.watcher import DiscoveryWatcher
 from corkdoor.sidecar.endpoint_updates import EndpointUpdates
 from corkdoor.sidecar.invariants import InvariantLog
 from corkdoor.sidecar.lifecycle import Lifecycle, ProcessState
@@ -64,7 +66,7 @@
             config.discovery.host,
             config.discovery.port,
             config.known.generation,
-            connect_limit_s(config.settings),
+            connect_timeout_s(config.settings),
             self.on_watch_event,
         )
         self.balancer = Balancer(config.settings, config.seed, self)
@@ -90,7 +92,7 @@
         self.balancer.start(now_us())
         self.on_watch_event(WatchEventKind.CACHED, self.config.known.entries)
         if self.settings.discovery_mode is DiscoveryMode.PUSH:
-            self.watcher.turn(True)
+            self.watcher.start()
         self.lifecycle.enter(ProcessState.SERVING)
 
     @property
@@ -114,7 +116,7 @@
             self.attempts.limits = config.settings.limits
         self.budget.most = config.bounds.held
         self.upstream.configure(_pool_limits(config))
-        self.watcher.connect_s = connect_limit_s(config.settings)
+        self.watcher.connect_timeout_s = connect_timeout_s(config.settings)
         self._follow_discovery(config.discovery)
         if config.digest != self.config.digest:
             self.settings_changes += 1
@@ -124,9 +126,9 @@
     def _follow_discovery(self, address: Address) -> None:
         """Watch at another address; at the same one the watch stays open, since each new one costs a list."""
         if (address.host, address.port) != (self.watcher.host, self.watcher.port):
-            self.watcher.move(address.host, address.port)
+            self.watcher.change_address(address.host, address.port)
             if not notify(self.balancer.on_discovery_moved):
-                self.watcher.turn(True)
+                self.watcher.start()
 
     def version_fields(self) -> dict[str, object]:
         """Return which settings are in force, since when, and after how many changes."""
@@ -180,7 +182,10 @@
 
     def watch_discovery(self, enabled: bool) -> None:
         """Open a watch on the endpoint list, or close it."""
-        self.watcher.turn(enabled)
+        if enabled:
+            self.watcher.start()
+        else:
+            self.watcher.stop()
 
     def close_idle_connections(self, endpoint_id: str) -> None:
         """Close the idle connections to one endpoint."""
--- a/corkdoor/sidecar/status_report.py
+++ b/corkdoor/sidecar/status_report.py
@@ -21,7 +21,7 @@
         "connections": pools.open_connections,
         "max_connections": pools.max_connections,
         **proxy.endpoint_updates.list_fields(),
-        "longest_list_age_s": freshness.longest_us / 1e6,
+        "longest_list_age_s": freshness.longest_age_us / 1e6,
         **_drain(proxy.counters),
         **{f"connections_{name}": count for name, count in _drain(pools.counters).items()},
         **proxy.invariants.counts(),
--- a/emulator/breakdown.py
+++ b/emulator/breakdown.py
@@ -20,8 +20,9 @@
 from corkdoor import balancer
 from corkdoor.policy.buckets import TokenBuckets
 from corkdoor.sidecar import __main__ as program
-from corkdoor.sidecar import clock, discovery, process, proxy, server
+from corkdoor.sidecar import clock, process, proxy, server
 from corkdoor.sidecar.attempt_sender import AttemptSender
+from corkdoor.sidecar.discovery.client import DiscoveryClient
 from corkdoor.sidecar.request_registry import RequestRegistry
 from corkdoor.sidecar.upstream.connection import Connection
 from corkdoor.sidecar.upstream.pool import EndpointPool
@@ -49,7 +50,7 @@
     ("chore: check callers", server.ClientConnection, "check"),
     ("chore: report", process, "status_line"),
     ("list taken", proxy.Proxy, "on_watch_event"),
-    ("watch", discovery.DiscoveryWatcher, "on_response"),
+    ("watch", DiscoveryClient, "on_response"),
 )
 
 
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -17,7 +17,7 @@
 from corkdoor.settings_reader import read_settings
 from corkdoor.sidecar import proxied_request
 from corkdoor.sidecar.clock import Alarm, now_us
-from corkdoor.sidecar.discovery import read_endpoint_list
+from corkdoor.sidecar.discovery.endpoint_list import read_endpoint_list
 from corkdoor.sidecar.event_loop_lag import log_event_loop_lag
 from corkdoor.sidecar.log_limits import MAX_LINES_PER_S, LineRateFilter
 from corkdoor.sidecar.proxied_request import ProxiedRequest
--- a/tests/test_unsafe.py
+++ b/tests/test_unsafe.py
@@ -8,7 +8,7 @@
 import pytest
 
 from corkdoor.model import WatchEventKind
-from corkdoor.sidecar.discovery import read_endpoint_list
+from corkdoor.sidecar.discovery.endpoint_list import read_endpoint_list
 from corkdoor.sidecar.upstream.connection import Connection
 from tests.sidecar_support import SETUP, Asked, Fake, Sidecar, first_asked, one_attempt, row, run
 
