--- a/corkdoor/sidecar/config.py
+++ b/corkdoor/sidecar/config.py
@@ -14,8 +14,8 @@
 
 from corkdoor.settings import Settings
 from corkdoor.settings_reader import read_settings
-from corkdoor.sidecar.bounds import Bounds
 from corkdoor.sidecar.discovery.endpoint_list import EndpointList, read_endpoint_list
+from corkdoor.sidecar.resource_limits import ResourceLimits
 
 DEFAULT_MAX_SOCKETS = 1024
 DEFAULT_MEMORY_MB = 192
@@ -71,7 +71,7 @@
         listen: where it accepts clients.
         discovery: where it asks for endpoint lists.
         seed: of the balancer's random draws.
-        bounds: of connections, and of bytes held for others.
+        resource_limits: of connections, and of bytes held for others.
         known: the endpoint list to begin with.
         settings: the balancer's settings.
         digest: of the settings as the file states them: tells which ones are in force.
@@ -81,7 +81,7 @@
     listen: Address
     discovery: Address
     seed: int
-    bounds: Bounds
+    resource_limits: ResourceLimits
     known: EndpointList
     settings: Settings
     digest: str = "-"
@@ -107,7 +107,7 @@
         listen=parse_address(environ.get("GW_LISTEN") or document.get("listen"), "GW_LISTEN"),
         discovery=parse_address(document.get("discovery") or environ.get("GW_DISCOVERY"), "discovery"),
         seed=_parse_seed(document.get("seed")),
-        bounds=Bounds.within(
+        resource_limits=ResourceLimits.divide(
             int(_read_limit(document, "sockets", DEFAULT_MAX_SOCKETS)),
             _read_limit(document, "memory_mb", DEFAULT_MEMORY_MB),
         ),
--- a/corkdoor/sidecar/discovery/client.py
+++ b/corkdoor/sidecar/discovery/client.py
@@ -6,7 +6,6 @@
 import json
 from dataclasses import dataclass
 
-from corkdoor.sidecar.bounds import Budget
 from corkdoor.sidecar.clock import now_us
 from corkdoor.sidecar.discovery.endpoint_list import EndpointList, read_endpoint_list
 from corkdoor.sidecar.discovery.errors import (
@@ -17,7 +16,8 @@
     CallRejectedError,
     ConnectionClosedError,
 )
-from corkdoor.sidecar.stream import connect
+from corkdoor.sidecar.resource_limits import ByteBudget
+from corkdoor.sidecar.transport.connector import connect
 from corkdoor.sidecar.upstream.connection import Connection
 from corkdoor.sidecar.upstream.connection_state import RESPONSE_BEGUN, ConnectionState
 from corkdoor.sidecar.upstream.response import Response
@@ -84,7 +84,7 @@
             OSError: it could not be opened; TimeoutError: not within `timeout_s` seconds.
         """
         if self._connection is None or self._connection.closed:
-            opened = Connection(self, Budget(MAX_LIST_BYTES), MAX_LIST_BYTES)
+            opened = Connection(self, ByteBudget(MAX_LIST_BYTES), MAX_LIST_BYTES)
             async with asyncio.timeout(timeout_s):
                 await connect(opened, self.host, self.port)
             self._connection = opened
--- a/corkdoor/sidecar/graceful_shutdown.py
+++ b/corkdoor/sidecar/graceful_shutdown.py
@@ -7,10 +7,10 @@
 from dataclasses import dataclass
 
 from corkdoor.log_events import LogEvent
+from corkdoor.sidecar.clients.server import Server
 from corkdoor.sidecar.clock import now_us
 from corkdoor.sidecar.lifecycle import ProcessState
 from corkdoor.sidecar.proxy import Proxy
-from corkdoor.sidecar.server import Server
 
 POLL_INTERVAL_S = 0.01
 log = logging.getLogger(__name__)
@@ -53,12 +53,12 @@
     while: closing them at once would send this sidecar's whole load to its neighbours in one moment.
     """
     timeouts = timeouts or ShutdownTimeouts()
-    longest_deadline_s = server.longest_s
+    longest_deadline_s = server.admission.longest_deadline_s
     begun_us = now_us()
-    server.draining = True
+    server.start_draining()
     proxy.lifecycle.enter(ProcessState.DRAINING)
     await asyncio.sleep(timeouts.serving_s(longest_deadline_s))
-    server.leaving = True
+    server.start_closing_connections()
     proxy.lifecycle.enter(ProcessState.CLOSING)
     log.info(LogEvent("shutdown_closing", clients=len(server.clients), requests=len(proxy.requests)))
     await _until_empty(server, begun_us + int(timeouts.answering_s(longest_deadline_s) * 1e6))
@@ -71,13 +71,13 @@
         )
     )
     proxy.reject_all()
-    server.turn_away_unfinished()
+    server.reject_incomplete_requests()
     await _until_empty(server, now_us() + int(timeouts.flush_s * 1e6))
     proxy.lifecycle.enter(ProcessState.STOPPED)
 
 
 async def _until_empty(server: Server, until_us: int) -> None:
     """Wait until all clients have their answers and have left, or until that time."""
-    while not (server.shut() and not server.clients) and now_us() < until_us:
+    while not (server.stop_accepting() and not server.clients) and now_us() < until_us:
         server.close_idle()
         await asyncio.sleep(POLL_INTERVAL_S)
--- a/corkdoor/sidecar/process.py
+++ b/corkdoor/sidecar/process.py
@@ -12,11 +12,11 @@
 from pathlib import Path
 
 from corkdoor.log_events import LogEvent
+from corkdoor.sidecar.clients.server import Server
 from corkdoor.sidecar.config import Config, ConfigError, load
 from corkdoor.sidecar.event_loop_lag import log_event_loop_lag
 from corkdoor.sidecar.graceful_shutdown import shut_down
 from corkdoor.sidecar.proxy import Proxy
-from corkdoor.sidecar.server import Server
 from corkdoor.sidecar.signals import SignalActions
 from corkdoor.sidecar.status_report import status_line
 
@@ -33,7 +33,7 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         signals.handle(number, stop.set)
     proxy = Proxy(config)
-    server = Server(proxy, config.bounds.clients)
+    server = Server(proxy, config.resource_limits.client_connections)
     signals.handle(signal.SIGHUP, partial(reload, server))
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
     server.bind(config.listen.host, config.listen.port)
@@ -61,14 +61,15 @@
         log.error(LogEvent("config_rejected", key="-", reason=f"{type(error).__name__}: {error}"))
         return
     config = server.proxy.config
+    limits = config.resource_limits
     log.info(
         LogEvent(
             "config_reloaded",
             changed=config.digest != before.digest,
             **server.proxy.version_fields(),
-            max_clients=config.bounds.clients,
-            max_connections=config.bounds.endpoints,
-            max_held_bytes=config.bounds.held,
+            max_clients=limits.client_connections,
+            max_connections=limits.endpoint_connections,
+            max_held_bytes=limits.held_bytes,
         )
     )
 
@@ -76,7 +77,7 @@
 def _start_background(proxy: Proxy, server: Server, signals: SignalActions) -> list[asyncio.Task[None]]:
     chores = (
         proxy.upstream.sweep(),
-        server.watch_clients(),
+        server.watch_timeouts(),
         signals.watch(),
         log_event_loop_lag(),
         _log_status(proxy, server),
@@ -94,7 +95,7 @@
 async def _log_status(proxy: Proxy, server: Server) -> None:
     while True:
         await asyncio.sleep(STATUS_INTERVAL_S)
-        log.info(status_line(proxy, len(server.clients), server.most))
+        log.info(status_line(proxy, len(server.clients), server.clients.limit))
 
 
 def _log_serving(config: Config) -> None:
--- a/corkdoor/sidecar/proxy.py
+++ b/corkdoor/sidecar/proxy.py
@@ -15,7 +15,6 @@
 from corkdoor.policy.discovery.connect_timeout import connect_timeout_s
 from corkdoor.sidecar.attempt_sender import AttemptSender
 from corkdoor.sidecar.balancer_events import notify
-from corkdoor.sidecar.bounds import Budget
 from corkdoor.sidecar.clock import Alarm, now_us
 from corkdoor.sidecar.config import Address, Config, require_unchanged
 from corkdoor.sidecar.discovery.endpoint_list import ResolvedEndpoint
@@ -25,6 +24,7 @@
 from corkdoor.sidecar.lifecycle import Lifecycle, ProcessState
 from corkdoor.sidecar.proxied_request import ProxiedRequest
 from corkdoor.sidecar.request_registry import RequestRegistry
+from corkdoor.sidecar.resource_limits import ByteBudget
 from corkdoor.sidecar.upstream.manager import PoolLimits, PoolManager
 
 log = logging.getLogger(__name__)
@@ -58,7 +58,7 @@
         self.settings_changes = 0
         self.settings_since_s = time.time()
         self.lifecycle = Lifecycle()
-        self.budget = Budget(config.bounds.held)
+        self.budget = ByteBudget(config.resource_limits.held_bytes)
         self.invariants = InvariantLog()
         self.counters: Counter[str] = Counter()
         self.upstream = PoolManager(_pool_limits(config), self.budget, self.invariants)
@@ -114,7 +114,7 @@
             self.balancer.reconfigure(now_us(), config.settings)  # first: it may refuse
             self.settings = config.settings
             self.attempts.limits = config.settings.limits
-        self.budget.most = config.bounds.held
+        self.budget.limit_bytes = config.resource_limits.held_bytes
         self.upstream.configure(_pool_limits(config))
         self.watcher.connect_timeout_s = connect_timeout_s(config.settings)
         self._follow_discovery(config.discovery)
@@ -198,4 +198,6 @@
 
 def _pool_limits(config: Config) -> PoolLimits:
     limits = config.settings.limits
-    return PoolLimits(limits.idle_connection_us, limits.connect_timeout_us, config.bounds.endpoints)
+    return PoolLimits(
+        limits.idle_connection_us, limits.connect_timeout_us, config.resource_limits.endpoint_connections
+    )
--- a/corkdoor/sidecar/upstream/connection.py
+++ b/corkdoor/sidecar/upstream/connection.py
@@ -6,9 +6,9 @@
 from typing import Protocol
 
 from corkdoor.log_events import LogEvent
-from corkdoor.sidecar.bounds import Budget
 from corkdoor.sidecar.clock import now_us
-from corkdoor.sidecar.stream import StreamTransport
+from corkdoor.sidecar.resource_limits import ByteBudget
+from corkdoor.sidecar.transport.stream import StreamTransport
 from corkdoor.sidecar.upstream.connection_state import (
     CONNECTION_STATES,
     REQUEST_SENT,
@@ -52,7 +52,9 @@
 
     __slots__ = ("_reader", "idle_since_us", "last_data_us", "owner", "state", "transport")
 
-    def __init__(self, owner: ConnectionOwner, budget: Budget, max_body_bytes: int = MAX_BODY_BYTES) -> None:
+    def __init__(
+        self, owner: ConnectionOwner, budget: ByteBudget, max_body_bytes: int = MAX_BODY_BYTES
+    ) -> None:
         self.owner = owner
         self.state = ConnectionState.IDLE
         self.idle_since_us = now_us()
--- a/corkdoor/sidecar/upstream/manager.py
+++ b/corkdoor/sidecar/upstream/manager.py
@@ -13,10 +13,10 @@
 
 from corkdoor.log_events import LogEvent
 from corkdoor.model import Outcome
-from corkdoor.sidecar import stream
-from corkdoor.sidecar.bounds import Budget
 from corkdoor.sidecar.clock import now_us
 from corkdoor.sidecar.invariants import Invariant, InvariantLog
+from corkdoor.sidecar.resource_limits import ByteBudget
+from corkdoor.sidecar.transport import connector
 from corkdoor.sidecar.upstream.attempt import Attempt
 from corkdoor.sidecar.upstream.connection import Connection
 from corkdoor.sidecar.upstream.pool import EndpointPool
@@ -53,7 +53,7 @@
         active: the attempt that is out on each connection.
     """
 
-    def __init__(self, limits: PoolLimits, budget: Budget, invariants: InvariantLog) -> None:
+    def __init__(self, limits: PoolLimits, budget: ByteBudget, invariants: InvariantLog) -> None:
         self.invariants = invariants
         self.budget = budget
         self.open_connections = 0
@@ -163,7 +163,7 @@
 
     async def connect(self, connection: Connection, host: str, port: int) -> None:
         """Bring a connection up; OSError: it does not come up."""
-        await stream.connect(connection, host, port)
+        await connector.connect(connection, host, port)
 
     async def _connect_and_send(self, attempt: Attempt, pool: EndpointPool) -> None:
         connection = Connection(pool, self.budget)
--- a/corkdoor/sidecar/upstream/response_reader.py
+++ b/corkdoor/sidecar/upstream/response_reader.py
@@ -10,8 +10,8 @@
 
 import httptools
 
-from corkdoor.sidecar.bounds import Budget
 from corkdoor.sidecar.http_fields import OPTIONAL_WHITESPACE
+from corkdoor.sidecar.resource_limits import ByteBudget
 from corkdoor.sidecar.upstream.errors import (
     BodyTooLargeError,
     HeadTooLargeError,
@@ -68,7 +68,7 @@
 
     __slots__ = ("_budget", "_max_body_bytes", "_parser", "_partial")
 
-    def __init__(self, budget: Budget, max_body_bytes: int = MAX_BODY_BYTES) -> None:
+    def __init__(self, budget: ByteBudget, max_body_bytes: int = MAX_BODY_BYTES) -> None:
         self._budget = budget
         self._max_body_bytes = max_body_bytes
         self._parser: httptools.HttpResponseParser | None = httptools.HttpResponseParser(self)
--- a/emulator/breakdown.py
+++ b/emulator/breakdown.py
@@ -20,8 +20,10 @@
 from corkdoor import balancer
 from corkdoor.policy.buckets import TokenBuckets
 from corkdoor.sidecar import __main__ as program
-from corkdoor.sidecar import clock, process, proxy, server
+from corkdoor.sidecar import clock, process, proxy
 from corkdoor.sidecar.attempt_sender import AttemptSender
+from corkdoor.sidecar.clients.connection import ClientConnection
+from corkdoor.sidecar.clients.server import Server
 from corkdoor.sidecar.discovery.client import DiscoveryClient
 from corkdoor.sidecar.request_registry import RequestRegistry
 from corkdoor.sidecar.upstream.connection import Connection
@@ -30,8 +32,8 @@
 
 # The step's name, its class or module, and its method or function.
 STEPS: tuple[tuple[str, Any, str], ...] = (
-    ("read request", server.ClientConnection, "data_received"),
-    ("admit", server.Server, "admit"),
+    ("read request", ClientConnection, "data_received"),
+    ("admit", Server, "admit"),
     ("host take", RequestRegistry, "accept"),
     ("module order", balancer.Balancer, "on_request"),
     ("module in-use sum", balancer.Balancer, "_in_use"),
@@ -44,10 +46,10 @@
     ("read answer", Connection, "data_received"),
     ("attempt ended", AttemptSender, "_on_end"),
     ("module reply", balancer.Balancer, "on_attempt_end"),
-    ("write to caller", server.ClientConnection, "answer"),
+    ("write to caller", ClientConnection, "answer"),
     ("alarm set", clock.Alarm, "_arm"),
     ("alarm cancelled", clock.Alarm, "cancel"),
-    ("chore: check callers", server.ClientConnection, "check"),
+    ("chore: check callers", ClientConnection, "check_timeouts"),
     ("chore: report", process, "status_line"),
     ("list taken", proxy.Proxy, "on_watch_event"),
     ("watch", DiscoveryClient, "on_response"),
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -9,10 +9,10 @@
 import pytest
 
 from corkdoor.model import WatchEventKind
+from corkdoor.sidecar.clients.connection import ClientConnection
 from corkdoor.sidecar.clock import Alarm
 from corkdoor.sidecar.discovery.endpoint_list import read_endpoint_list
 from corkdoor.sidecar.proxied_request import ProxiedRequest
-from corkdoor.sidecar.server import ClientConnection
 from corkdoor.sidecar.upstream.attempt import Attempt
 from corkdoor.sidecar.upstream.connection import Connection
 from corkdoor.sidecar.upstream.pool import EndpointPool
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -9,6 +9,7 @@
 
 from corkdoor.model import DeduplicationScope, Idempotency, Outcome
 from corkdoor.settings import Limits, RequestClass
+from corkdoor.sidecar.clients.close_reason import CloseReason
 from corkdoor.sidecar.invariants import Invariant, InvariantLog
 from corkdoor.sidecar.resend_guard import MAX_SEND_DELAY_US, Location, SentAttempt, may_send_again
 from tests.sidecar_support import Sidecar, first_asked, one_attempt, run
@@ -110,7 +111,7 @@
         async with Sidecar() as sidecar:
             asked, client = await one_attempt(sidecar)
             (caller,) = sidecar.server.clients
-            caller.close("a mistake")
+            caller.close(CloseReason.IDLE)
             assert sidecar.proxy.invariants.broken[Invariant.CLOSED_UNANSWERED] == 1
             asked.reply()
             assert (await client.answer()).status == 200
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -12,10 +12,10 @@
 
 from corkdoor.model import Outcome, WatchEventKind
 from corkdoor.sidecar import proxied_request
-from corkdoor.sidecar.bounds import Budget
 from corkdoor.sidecar.discovery.endpoint_list import ResolvedEndpoint, read_endpoint_list
 from corkdoor.sidecar.invariants import InvariantLog
 from corkdoor.sidecar.resend_guard import Location
+from corkdoor.sidecar.resource_limits import ByteBudget
 from corkdoor.sidecar.upstream import manager
 from corkdoor.sidecar.upstream.attempt import Attempt
 from corkdoor.sidecar.upstream.manager import PoolLimits, PoolManager
@@ -35,7 +35,7 @@
 
 def new_manager(connect_timeout_us: int = 1_000_000) -> PoolManager:
     """Pools without a sidecar round them."""
-    return PoolManager(PoolLimits(0, connect_timeout_us, 4), Budget(1 << 20), InvariantLog())
+    return PoolManager(PoolLimits(0, connect_timeout_us, 4), ByteBudget(1 << 20), InvariantLog())
 
 
 @pytest.mark.parametrize("status", [500, 503, 504, 429, 404])
@@ -300,7 +300,7 @@
             assert (answer.status, answer.body) == (502, b"")
             assert await asyncio.wait_for(ended(sidecar), 2) == 0
             assert all(fake.asked.empty() for fake in sidecar.endpoints)
-            assert (sidecar.proxy.upstream.open_connections, sidecar.proxy.budget.held) == (0, 0)
+            assert (sidecar.proxy.upstream.open_connections, sidecar.proxy.budget.held_bytes) == (0, 0)
 
     run(test())
 
