--- a/emulator/breakdown.py
+++ b/emulator/breakdown.py
@@ -22,32 +22,38 @@
 from corkdoor.policy.endpoint_choice import EndpointChooser
 from corkdoor.policy.token_buckets import TokenBuckets
 from corkdoor.sidecar import __main__ as program
-from corkdoor.sidecar import clock, proxy, server, upstream
+from corkdoor.sidecar import clock, process, proxy
+from corkdoor.sidecar.attempt_sender import AttemptSender
+from corkdoor.sidecar.clients.connection import ClientConnection
+from corkdoor.sidecar.clients.server import Server
 from corkdoor.sidecar.discovery.client import DiscoveryClient
+from corkdoor.sidecar.request_registry import RequestRegistry
+from corkdoor.sidecar.upstream.connection import Connection
+from corkdoor.sidecar.upstream.pool import EndpointPool
 from emulator.sidecar import VARIABLE
 
-# The step's name, its class, and its method.
-STEPS: tuple[tuple[str, type[Any], str], ...] = (
-    ("read request", server.ClientConnection, "data_received"),
-    ("admit", server.Server, "admit"),
-    ("host take", proxy.Proxy, "take"),
+# The step's name, its class or module, and its method or function.
+STEPS: tuple[tuple[str, Any, str], ...] = (
+    ("read request", ClientConnection, "data_received"),
+    ("admit", Server, "admit"),
+    ("host take", RequestRegistry, "accept"),
     ("module order", balancer.Balancer, "on_request"),
     ("module in-use sum", Availability, "pool_share"),
     ("module pick", EndpointChooser, "choose"),
     ("module refill", TokenBuckets, "refill"),
     ("hand off", proxy.Proxy, "send_attempt"),
-    ("take connection", upstream.Pool, "take"),
-    ("poll for staleness", upstream.Connection, "stale"),
-    ("write to endpoint", upstream.Connection, "send"),
-    ("read answer", upstream.Connection, "data_received"),
-    ("attempt ended", proxy.Proxy, "_ended"),
+    ("take connection", EndpointPool, "acquire"),
+    ("poll for staleness", Connection, "is_stale"),
+    ("write to endpoint", Connection, "send"),
+    ("read answer", Connection, "data_received"),
+    ("attempt ended", AttemptSender, "_on_end"),
     ("module reply", balancer.Balancer, "on_attempt_end"),
-    ("write to caller", server.ClientConnection, "answer"),
+    ("write to caller", ClientConnection, "answer"),
     ("alarm set", clock.Alarm, "_arm"),
     ("alarm cancelled", clock.Alarm, "cancel"),
-    ("chore: check callers", server.ClientConnection, "check"),
-    ("chore: report", proxy.Proxy, "report"),
-    ("list taken", proxy.Proxy, "on_list"),
+    ("chore: check callers", ClientConnection, "check_timeouts"),
+    ("chore: report", process, "status_line"),
+    ("list taken", proxy.Proxy, "on_watch_event"),
     ("watch", DiscoveryClient, "on_response"),
 )
 
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -9,14 +9,16 @@
 import pytest
 
 from corkdoor.model import WatchEventKind
+from corkdoor.sidecar.clients.connection import ClientConnection
 from corkdoor.sidecar.clock import Alarm
 from corkdoor.sidecar.discovery.endpoint_list import read_endpoint_list
 from corkdoor.sidecar.proxied_request import ProxiedRequest
-from corkdoor.sidecar.server import ClientConnection
-from corkdoor.sidecar.upstream import Attempt, Connection, Pool
+from corkdoor.sidecar.upstream.attempt import Attempt
+from corkdoor.sidecar.upstream.connection import Connection
+from corkdoor.sidecar.upstream.pool import EndpointPool
 from tests.sidecar_support import Fake, Sidecar, row, run
 
-COUNTED = (Alarm, Attempt, ClientConnection, Connection, Pool, ProxiedRequest)
+COUNTED = (Alarm, Attempt, ClientConnection, Connection, EndpointPool, ProxiedRequest)
 
 
 def counts() -> Counter[str]:
@@ -63,7 +65,7 @@
                 gc.enable()
 
     async def settled(sidecar: Sidecar) -> None:
-        while sidecar.server.clients or sidecar.proxy.requests or sidecar.proxy.upstream.open:
+        while sidecar.server.clients or sidecar.proxy.requests or sidecar.proxy.upstream.open_connections:
             await asyncio.sleep(0.01)
         await asyncio.sleep(0.05)  # what was aborted is let go of in the loop's next turns
 
@@ -80,7 +82,7 @@
                 if form is WatchEventKind.DELTA:
                     rows += [row(f"s-{i}", address, "draining"), row(f"s-{i}", address, "gone")]
                 listing = read_endpoint_list({"generation": i, "reset": False, "instances": rows})
-                sidecar.proxy.on_list(form, listing.entries)
+                sidecar.proxy.on_watch_event(form, listing.entries)
             assert list(sidecar.proxy.upstream.pools) == ["s-50"]
             assert list(sidecar.proxy.balancer.endpoints) == ["s-50"]
 
@@ -98,7 +100,7 @@
             old = await fake.next()
             rows = [row("s-0", fake.address, "gone"), row("s-1", fake.address)]
             listing = read_endpoint_list({"generation": 2, "reset": False, "instances": rows})
-            sidecar.proxy.on_list(WatchEventKind.DELTA, listing.entries)
+            sidecar.proxy.on_watch_event(WatchEventKind.DELTA, listing.entries)
             balancer = sidecar.proxy.balancer
             assert set(balancer.endpoints) == {"s-0", "s-1"}  # one has something out
             new_client.send()
@@ -111,6 +113,6 @@
             new.reply()
             assert (await new_client.answer()).status == 200
             assert balancer.endpoints["s-1"].in_flight == 0
-            assert sidecar.proxy.upstream.open == 1
+            assert sidecar.proxy.upstream.open_connections == 1
 
     run(test())
--- a/tests/test_unsafe.py
+++ b/tests/test_unsafe.py
@@ -8,8 +8,8 @@
 import pytest
 
 from corkdoor.model import WatchEventKind
-from corkdoor.sidecar import upstream
 from corkdoor.sidecar.discovery.endpoint_list import read_endpoint_list
+from corkdoor.sidecar.upstream.connection import Connection
 from tests.sidecar_support import SETUP, Asked, Fake, Sidecar, first_asked, one_attempt, row, run
 
 ALLOWED = {**SETUP["Allowed"], "SecondCopies": True, "ConnectTimeoutUs": 100_000}
@@ -72,9 +72,11 @@
                 dead.close()
             async with Sidecar(endpoints=1, Allowed=ALLOWED) as sidecar:
                 both = rows(row("bad", address), row("s-0", sidecar.endpoints[0].address))
-                sidecar.proxy.on_list(WatchEventKind.FULL, read_endpoint_list(both).entries)
+                sidecar.proxy.on_watch_event(WatchEventKind.FULL, read_endpoint_list(both).entries)
                 client = await sidecar.client()
-                while not sidecar.proxy.tally["connect_failed"]:  # each draws its endpoint at random
+                while not sidecar.proxy.counters[
+                    "attempts_connect_failed"
+                ]:  # each draws its endpoint at random
                     client.send()
                     (await sidecar.endpoints[0].next()).reply()
                     assert (await client.answer()).status == 200
@@ -102,16 +104,16 @@
     async def test() -> None:
         async with Sidecar(endpoints=2, Allowed=ALLOWED) as sidecar:
             await sidecar.discovery.next()  # its connection is of the same kind
-            send = upstream.Connection.send
+            send = Connection.send
 
-            def in_part(connection: upstream.Connection, data: bytes) -> None:
-                monkeypatch.setattr(upstream.Connection, "send", send)
+            def in_part(connection: Connection, data: bytes) -> None:
+                monkeypatch.setattr(Connection, "send", send)
                 send(connection, data[:-1])
                 connection.pause_writing()  # as where the kernel's buffer is full
                 parts.put_nowait(connection)
 
-            parts: asyncio.Queue[upstream.Connection] = asyncio.Queue()
-            monkeypatch.setattr(upstream.Connection, "send", in_part)
+            parts: asyncio.Queue[Connection] = asyncio.Queue()
+            monkeypatch.setattr(Connection, "send", in_part)
             client = await sidecar.client()
             client.send()
             port = (await parts.get()).transport.peer_port()
--- a/tests/test_watching.py
+++ b/tests/test_watching.py
@@ -26,7 +26,7 @@
 from corkdoor.settings import LifecycleRules
 from corkdoor.sidecar.config import Address
 from corkdoor.sidecar.discovery import client as discovery_client
-from corkdoor.sidecar.stream import connect
+from corkdoor.sidecar.transport.connector import connect
 from tests.sidecar_support import Sidecar, listing, read_message, row, run
 from tests.support import Host, S, settings
 
