--- a/corkdoor/sidecar/clients/connection.py
+++ b/corkdoor/sidecar/clients/connection.py
@@ -168,7 +168,7 @@
 
     def label(self) -> str:
         """The request's name in the log."""
-        return f"request {self.request_id.decode('latin-1')}"
+        return self.request_id.decode("latin-1")
 
     # Requests.
 
@@ -215,7 +215,7 @@
             self._server.clients.set_established(self)
         if request is not None:
             self.current_request = request
-            self._server.proxy.take(request)
+            self._server.proxy.accept(request)
 
     def reject_input(self, error: HTTPError) -> None:
         """Reject what the client has sent, and read no more: nothing of it is forwarded.
@@ -224,7 +224,7 @@
         the same. Clients that send one request at a time are never affected.
         """
         if self.current_request is not None:
-            self._server.proxy.gone(self.current_request)
+            self._server.proxy.cancel(self.current_request)
             if error.status == HTTPStatus.SERVICE_UNAVAILABLE:
                 # 503 would promise that the request before it never ran.
                 error = HTTPError(HTTPStatus.INTERNAL_SERVER_ERROR, error.reason)
@@ -245,7 +245,7 @@
         request, self.current_request = self.current_request, None
         if request is not None:
             self._server.admission.release(self.request_id)
-            self._server.proxy.gone(request)
+            self._server.proxy.cancel(request)
 
     def _end_input(self) -> None:
         self._parser.end()
@@ -321,10 +321,10 @@
             return
         proxy = self._server.proxy
         if self.current_request is not None:
-            detail = f"{self.label()}, {reason.value}"
-            proxy.invariants.note_broken(Invariant.CLOSED_UNANSWERED, detail)
+            detail = f"request {self.label()}, {reason.value}"
+            proxy.invariants.record_broken(Invariant.CLOSED_UNANSWERED, detail)
             return
-        proxy.tally[reason.counter] += 1
+        proxy.counters[reason.counter] += 1
         if abort:
             self._transport.abort()
         else:
--- a/emulator/microbench.py
+++ b/emulator/microbench.py
@@ -88,13 +88,15 @@
     def measure(self, rounds: int = 9, size: int = 500) -> CallCost:
         for _ in range(size):
             self.call()
-        pool = self.balancer.placement["look"].local
+        pool = self.balancer.rules.placements.by_class["look"].local
         cost = _batches(rounds, size, self.call)
         in_use = _batches(rounds, size, self._in_use)
         return CallCost(cost, in_use, len(pool.subset.members))
 
     def _in_use(self) -> None:
-        self.balancer._in_use(self.now, self.balancer.placement["look"].local)
+        self.balancer.rules.availability.pool_share(
+            self.now, self.balancer.rules.placements.by_class["look"].local
+        )
 
 
 class ListCost(NamedTuple):
@@ -129,7 +131,7 @@
             Config("n0", nowhere, nowhere, 7, ResourceLimits(500, 400, 1 << 24), known, settings)
         )
         self.host.balancer.start(now_us())
-        self.host.on_list(WatchEventKind.CACHED, known.entries)
+        self.host.on_watch_event(WatchEventKind.CACHED, known.entries)
 
     def whole(self) -> ListCost:
         return self._cost([body_of(2, True, self.rows)] * 2, WatchEventKind.FULL)
@@ -154,7 +156,7 @@
 
         def take() -> None:
             nonlocal place
-            self.host.on_list(form, lists[place % 2].entries)
+            self.host.on_watch_event(form, lists[place % 2].entries)
             place += 1
 
         return ListCost(_batches(rounds, size, parse), _batches(rounds, size, take), len(bodies[0]))
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,8 +1,10 @@
-"""Coroutines as tests, and property tests that draw the same examples on every run."""
+"""What holds for every test: coroutines run, fixed examples of property tests, no illegal transition."""
 
 from __future__ import annotations
 
 import inspect
+import logging
+from collections.abc import Iterator
 
 import pytest
 from hypothesis import settings
@@ -29,3 +31,24 @@
     marker = pyfuncitem.get_closest_marker("time_limit_s")
     run(test(**arguments), *(marker.args if marker else ()))
     return True
+
+
+class _Collector(logging.Handler):
+    """Keeps the messages that it is given."""
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.messages: list[str] = []
+
+    def emit(self, record: logging.LogRecord) -> None:
+        self.messages.append(record.getMessage())
+
+
+@pytest.fixture(autouse=True)
+def no_illegal_transition() -> Iterator[None]:
+    """Fail a test in which an object goes from one state to one that may not follow."""
+    collector, logger = _Collector(), logging.getLogger("corkdoor.state_machine")
+    logger.addHandler(collector)
+    yield
+    logger.removeHandler(collector)
+    assert not collector.messages
--- a/tests/sidecar_support.py
+++ b/tests/sidecar_support.py
@@ -18,7 +18,6 @@
 
 from corkdoor.model import WatchEventKind
 from corkdoor.settings_reader import read_settings
-from corkdoor.sidecar.clients import states as client_states
 from corkdoor.sidecar.clients.connection import ClientConnection
 from corkdoor.sidecar.clients.server import Server
 from corkdoor.sidecar.clients.timeouts import ClientTimeouts
@@ -26,15 +25,7 @@
 from corkdoor.sidecar.discovery.endpoint_list import read_endpoint_list
 from corkdoor.sidecar.proxy import Proxy
 from corkdoor.sidecar.resource_limits import ResourceLimits
-from corkdoor.sidecar.transport import states as transport_states
-from corkdoor.state_machine import TransitionTable
-
-STATE_TABLES = [
-    value
-    for module in (client_states, transport_states)
-    for value in vars(module).values()
-    if isinstance(value, TransitionTable)
-]
+
 PATIENCE_S = 10.0  # a test that waits longer for an event has failed
 
 SETUP: dict[str, Any] = {
@@ -264,14 +255,13 @@
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        """Close everything; no object may have made an illegal transition."""
+        """Close everything."""
         self.proxy.watch_discovery(False)
         self.sweep.cancel()
         self.watch.cancel()
         self.server.listener.close()
         for fake in (self.discovery, *self.endpoints):
             fake.server.close()
-        assert [table.subject for table in STATE_TABLES if table.violations] == []
 
     async def client(self) -> Client:
         """A client that is connected to it."""
@@ -280,7 +270,7 @@
     def list_endpoints(self, *rows: dict[str, Any], generation: int = 2) -> None:
         """Deliver a complete list of endpoints, as if discovery had answered with these rows."""
         document = {"generation": generation, "reset": True, "instances": list(rows)}
-        self.proxy.on_list(WatchEventKind.FULL, read_endpoint_list(document).entries)
+        self.proxy.on_watch_event(WatchEventKind.FULL, read_endpoint_list(document).entries)
 
     def list_all_endpoints(self) -> None:
         """Deliver a complete list of all fake endpoints."""
@@ -404,7 +394,7 @@
     process = started(tmp_path, document, **variables)
     try:
         running = Program(process, endpoint, address)
-        await running.line_with("serves on")
+        await running.line_with("event=serving ")
         yield running
     finally:
         process.kill()
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -116,7 +116,7 @@
         second.send(body=b"x" * 700)
         answer = await second.answer()
         assert (answer.status, answer.headers["retry-after"]) == (503, "1")
-        assert sidecar.proxy.serial == 1
+        assert sidecar.proxy.requests.accepted == 1
         received.reply()
         assert (await first.answer()).status == 200
         await sidecar.serve_one(first, body=b"x" * 700)
@@ -131,7 +131,7 @@
         await sidecar.endpoints[0].next()
         client.send("pay", body=b"x" * 700)
         assert (await client.answer()).status == 500
-        assert sidecar.proxy.serial == 1
+        assert sidecar.proxy.requests.accepted == 1
 
 
 async def test_client_that_reads_no_response_gets_no_more_of_them() -> None:
--- a/tests/test_client_departures.py
+++ b/tests/test_client_departures.py
@@ -10,10 +10,10 @@
 
 import pytest
 
-from corkdoor import balancer
+from corkdoor.policy import request_queue
 from corkdoor.sidecar.clients.backlog import MAX_WAITING_REQUESTS
 from corkdoor.sidecar.clients.timeouts import ClientTimeouts
-from corkdoor.sidecar.upstream import Connection
+from corkdoor.sidecar.upstream.connection import Connection
 from tests.sidecar_support import SETUP, Client, Sidecar, first_asked, read_message, wait_until
 
 NEVER_MS = 3_000_000  # a deadline that is not reached within a test
@@ -59,14 +59,14 @@
     allowed = {**SETUP["Allowed"], "MayCancel": cancellation_allowed, "ConnectTimeoutUs": SLOW_CONNECT_US}
     async with Sidecar(Allowed=allowed) as sidecar:
         connected, client_left = asyncio.Event(), asyncio.Event()
-        dial = sidecar.proxy.upstream.dial
+        connect = sidecar.proxy.upstream.connect
 
-        async def dial_slowly(*address: object) -> None:
-            await dial(*address)  # type: ignore[arg-type]
+        async def connect_slowly(*address: object) -> None:
+            await connect(*address)  # type: ignore[arg-type]
             connected.set()
             await client_left.wait()
 
-        monkeypatch.setattr(sidecar.proxy.upstream, "dial", dial_slowly)
+        monkeypatch.setattr(sidecar.proxy.upstream, "connect", connect_slowly)
         client, other = await sidecar.client(), await sidecar.client()
         client.send(request_id="early")
         await connected.wait()
@@ -165,12 +165,12 @@
     for i, fake in enumerate(sidecar.endpoints):
         host, _, port = fake.address.rpartition(":")
         # As a list would place it that states no start time.
-        upstream.place(f"s-{i}", host, int(port), 0)
+        upstream.put_endpoint(f"s-{i}", host, int(port), 0)
         for _ in range(count):
             connection = Connection(upstream.pools[f"s-{i}"], upstream.budget)
-            upstream.open += 1
-            await upstream.dial(connection, host, int(port))
-            upstream.pools[f"s-{i}"].rest(connection)
+            upstream.open_connections += 1
+            await upstream.connect(connection, host, int(port))
+            upstream.pools[f"s-{i}"].release(connection)
 
 
 async def check_departed_client_is_forgotten(
@@ -196,9 +196,9 @@
         leave(client)
         sidecar.list_all_endpoints()
         await until_no_request_is_open(sidecar)
-        assert sidecar.proxy.upstream.tally["opened"] == 0
+        assert sidecar.proxy.upstream.counters["opened"] == 0
         await check_departed_client_is_forgotten(sidecar, client, other)
-        assert sidecar.proxy.tally["gone"] == 1
+        assert sidecar.proxy.counters["client_disconnects"] == 1
 
 
 @each_way_to_leave
@@ -222,18 +222,18 @@
 ) -> None:
     allowed = {**SETUP["Allowed"], "ConnectTimeoutUs": SLOW_CONNECT_US}
     async with Sidecar(Allowed=allowed) as sidecar:
-        dial = sidecar.proxy.upstream.dial
+        connect = sidecar.proxy.upstream.connect
         client, other = connect_blocking(sidecar), await sidecar.client()
 
-        async def dial_and_leave(*address: object) -> None:
-            await dial(*address)  # type: ignore[arg-type]
+        async def connect_and_leave(*address: object) -> None:
+            await connect(*address)  # type: ignore[arg-type]
             monkeypatch.undo()
             leave(client)  # nothing comes between this and the attempt
 
-        monkeypatch.setattr(sidecar.proxy.upstream, "dial", dial_and_leave)
-        await wait_until(lambda: sidecar.proxy.upstream.tally["opened"])
+        monkeypatch.setattr(sidecar.proxy.upstream, "connect", connect_and_leave)
+        await wait_until(lambda: sidecar.proxy.upstream.counters["opened"])
         await check_departed_client_is_forgotten(sidecar, client, other)
-        assert sidecar.proxy.tally["not_sent"] == 1
+        assert sidecar.proxy.counters["attempts_not_sent"] == 1
 
 
 @each_way_to_leave
@@ -265,7 +265,8 @@
 @each_way_to_leave
 async def test_clients_leave_among_many(leave: Leave, monkeypatch: pytest.MonkeyPatch) -> None:
     """Every second of a hundred leaves in the step in which all their requests may be sent."""
-    monkeypatch.setattr(balancer, "HOLD_SHARE", 2.0)  # a busy machine takes long to open 200 connections
+    # A busy machine takes long to open 200 connections.
+    monkeypatch.setattr(request_queue, "MAX_WAIT_SHARE_OUTERMOST", 2.0)
     async with Sidecar(endpoints=4) as sidecar:
         sidecar.list_endpoints()
         clients = [connect_blocking(sidecar, f"{'goes' if n % 2 else 'stays'}-{n}") for n in range(100)]
@@ -291,5 +292,5 @@
         for task in serving:
             task.cancel()
         assert sorted(arrived) == sorted(f"stays-{n}" for n in range(0, 100, 2))
-        assert sidecar.proxy.tally["gone"] == 50
+        assert sidecar.proxy.counters["client_disconnects"] == 50
         assert not sidecar.proxy.requests
--- a/tests/test_client_requests.py
+++ b/tests/test_client_requests.py
@@ -70,7 +70,7 @@
         client.writer.write(raw.encode("latin-1"))
         assert (await client.answer()).status == status
         assert await client.reader.read() == b""
-        assert sidecar.proxy.serial == 0
+        assert sidecar.proxy.requests.accepted == 0
         assert sidecar.endpoints[0].connections == 0
         assert sidecar.proxy.budget.held_bytes == 0
 
@@ -126,7 +126,7 @@
     async with Sidecar() as sidecar:
         client = await sidecar.client()
         assert (await client.ask(class_name, **changes)).status == status
-        assert sidecar.proxy.serial == 0
+        assert sidecar.proxy.requests.accepted == 0
         assert sidecar.endpoints[0].connections == 0
 
 
@@ -137,7 +137,7 @@
             b"GET /pay HTTP/1.1\r\nReq-Id: 1\r\nReq-Owner: acme\r\nReq-Deadline-Ms: 9\r\n\r\n"
         )
         assert (await client.answer()).status == 405
-        assert sidecar.proxy.serial == 0
+        assert sidecar.proxy.requests.accepted == 0
 
 
 async def test_request_id_that_is_open_is_rejected() -> None:
--- a/tests/test_concurrency_limit.py
+++ b/tests/test_concurrency_limit.py
@@ -6,22 +6,35 @@
 
 import pytest
 
-from corkdoor.sidecar import proxy, upstream
-from corkdoor.sidecar.clients import connection, read_flow, registry, server
+from corkdoor.sidecar import (
+    attempt_sender,
+    balancer_events,
+    endpoint_updates,
+    proxy,
+    request_registry,
+)
+from corkdoor.sidecar.clients import connection as client_connection
+from corkdoor.sidecar.clients import read_flow, registry, server
 from corkdoor.sidecar.clients.timeouts import ClientTimeouts
 from corkdoor.sidecar.clock import now_us
+from corkdoor.sidecar.upstream import attempt, connection, manager, pool
 from tests.sidecar_support import Asked, Client, Sidecar
 
 # A slow machine may check clients before they are in use, and would close them by the test's clock.
 PATIENT = ClientTimeouts(first_request_s=3600.0, idle_s=3600.0)
 
+CLOCK_USERS = (
+    *(attempt_sender, balancer_events, endpoint_updates, proxy, request_registry),
+    *(client_connection, read_flow, registry, server, attempt, connection, manager, pool),
+)
+
 
 class Clock:
     """The sidecar's time, which only the test moves on."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.us = now_us()
-        for module in (proxy, upstream, connection, read_flow, registry, server):
+        for module in CLOCK_USERS:
             monkeypatch.setattr(module, "now_us", lambda: self.us)
 
 
@@ -42,7 +55,7 @@
 ) -> None:
     """The first `count` endpoints fail all that they get, the others serve, until those are ejected."""
     client = await sidecar.client()
-    while len(sidecar.proxy.balancer.ejected) < count:
+    while len(sidecar.proxy.balancer.rules.ejection.ejected) < count:
         client.send("pay")
         received = await queue.get()
         if clock is not None:
@@ -80,7 +93,7 @@
     """With two of four endpoints ejected the two others get no more than their part."""
     async with Sidecar(endpoints=4) as sidecar:
         queue = sidecar.merge_arrivals()
-        cap = sidecar.proxy.balancer.placements[0].local.limit.cap
+        cap = sidecar.proxy.balancer.placements[0].local.limit.limit
         await fail_until_ejected(sidecar, queue, 2)
         assert cap / 3 < await count_admitted(sidecar, queue, 40) < 2 * cap / 3
 
@@ -94,12 +107,12 @@
         clients = [await sidecar.client() for _ in range(60)]
         for _ in range(20):
             await serve(queue, clock, clients[:1], 100_000)
-        base_latency = limit.base
+        base_latency = limit.unloaded_median
         for _ in range(150):  # bursts up to the limit: up to ten at once are served in the base time
-            burst = int(limit.cap)
+            burst = int(limit.limit)
             await serve(queue, clock, clients[:burst], 100_000 * max(burst, 10) // 10)
-            assert 0 < limit.base < 1.3 * base_latency
-            assert limit.cap < 20
+            assert 0 < limit.unloaded_median < 1.3 * base_latency
+            assert limit.limit < 20
 
 
 async def test_limit_does_not_grow_by_what_a_few_endpoints_carry_for_all(
@@ -112,8 +125,8 @@
         limit = sidecar.proxy.balancer.placements[0].local.limit
         await fail_until_ejected(sidecar, queue, 2, clock)
         clients = [await sidecar.client() for _ in range(40)]
-        cap = limit.cap
+        cap = limit.limit
         for _ in range(8):  # for less time than they are out
             await serve(queue, clock, clients[: int(cap / 2)], 100_000)
-            assert limit.open == 0.5
-            assert limit.cap <= cap
+            assert limit.available_share == 0.5
+            assert limit.limit <= cap
--- a/tests/test_non_idempotent_requests.py
+++ b/tests/test_non_idempotent_requests.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from corkdoor.sidecar import upstream
+from corkdoor.sidecar.upstream.connection import Connection
 from tests.sidecar_support import SETUP, Asked, Sidecar, first_asked, one_attempt, row, wait_until
 
 ALLOWED = {**SETUP["Allowed"], "SecondCopies": True, "ConnectTimeoutUs": 100_000}
@@ -64,7 +64,7 @@
         async with Sidecar(endpoints=1, Allowed=ALLOWED) as sidecar:
             sidecar.list_endpoints(row("bad", address), row("s-0", sidecar.endpoints[0].address))
             client = await sidecar.client()
-            while not sidecar.proxy.tally["connect_failed"]:  # each draws its endpoint at random
+            while not sidecar.proxy.counters["attempts_connect_failed"]:  # each draws its endpoint at random
                 await sidecar.serve_one(client)
         for filler in fillers:
             filler.close()
@@ -83,16 +83,16 @@
     """The endpoint begins with the last byte; here the kernel takes only a part of the first attempt."""
     async with Sidecar(endpoints=2, Allowed=ALLOWED) as sidecar:
         await sidecar.discovery.next()  # its connection is of the same kind
-        send = upstream.Connection.send
+        send = Connection.send
 
-        def send_in_part(connection: upstream.Connection, data: bytes) -> None:
-            monkeypatch.setattr(upstream.Connection, "send", send)
+        def send_in_part(connection: Connection, data: bytes) -> None:
+            monkeypatch.setattr(Connection, "send", send)
             send(connection, data[:-1])
             connection.pause_writing()  # as where the kernel's buffer is full
             parts.put_nowait(connection)
 
-        parts: asyncio.Queue[upstream.Connection] = asyncio.Queue()
-        monkeypatch.setattr(upstream.Connection, "send", send_in_part)
+        parts: asyncio.Queue[Connection] = asyncio.Queue()
+        monkeypatch.setattr(Connection, "send", send_in_part)
         client = await sidecar.client()
         client.send()
         port = (await parts.get()).transport.peer_port()
