--- a/tests/sidecar_support.py
+++ b/tests/sidecar_support.py
@@ -28,7 +28,7 @@
 
 PATIENCE_S = 10.0  # a test that waits longer for an event has failed
 
-SETUP: dict[str, Any] = {
+SETTINGS: dict[str, Any] = {
     "Categories": [
         {
             "Name": "look",
@@ -110,7 +110,7 @@
     return Message(first, headers, await reader.readexactly(int(headers.get("content-length", "0"))))
 
 
-class Asked:
+class ReceivedRequest:
     """A request as an endpoint or discovery got it; the test says what comes back."""
 
     def __init__(self, message: Message, writer: asyncio.StreamWriter, connection: int) -> None:
@@ -126,16 +126,16 @@
         self.writer.transport.abort()
 
 
-class Fake:
+class FakeServer:
     """A server whose every request waits for the test's word."""
 
     def __init__(self) -> None:
-        self.asked: asyncio.Queue[Asked] = asyncio.Queue()
+        self.requests: asyncio.Queue[ReceivedRequest] = asyncio.Queue()
         self.connections = 0
         self.writers: list[asyncio.StreamWriter] = []
         self.ends: asyncio.Queue[int] = asyncio.Queue()  # connections that the other side ended
 
-    async def start(self) -> Fake:
+    async def start(self) -> FakeServer:
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.address = f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
         return self
@@ -146,17 +146,19 @@
         self.writers.append(writer)
         try:
             while True:
-                self.asked.put_nowait(Asked(await read_message(reader), writer, number))
+                self.requests.put_nowait(ReceivedRequest(await read_message(reader), writer, number))
         except (asyncio.IncompleteReadError, ConnectionError):
             self.ends.put_nowait(number)
         finally:
             writer.close()
 
-    async def next(self) -> Asked:
-        return await self.asked.get()
+    async def next_request(self) -> ReceivedRequest:
+        return await self.requests.get()
 
 
-def row(endpoint: str, address: str, lifecycle: str = "ready", started_ms: int = 0) -> dict[str, Any]:
+def endpoint_row(
+    endpoint: str, address: str, lifecycle: str = "ready", started_ms: int = 0
+) -> dict[str, Any]:
     return {
         "instanceId": endpoint,
         "hostPort": address,
@@ -169,7 +171,7 @@
     }
 
 
-def listing(generation: int, reset: bool, *rows: dict[str, Any]) -> bytes:
+def endpoint_list(generation: int, reset: bool, *rows: dict[str, Any]) -> bytes:
     return json.dumps({"generation": generation, "reset": reset, "instances": rows}).encode()
 
 
@@ -208,7 +210,7 @@
     async def answer(self) -> Message:
         return await read_message(self.reader)
 
-    async def ask(self, class_name: str = "pay", **values: Any) -> Message:
+    async def request(self, class_name: str = "pay", **values: Any) -> Message:
         self.send(class_name, **values)
         return await self.answer()
 
@@ -228,12 +230,12 @@
         self.timeouts = timeouts
         self.count = endpoints
         self.resource_limits = ResourceLimits(clients, upstream, held)
-        self.setup = {**SETUP, **settings}
+        self.setup = {**SETTINGS, **settings}
 
     async def __aenter__(self) -> Sidecar:
-        self.discovery = await Fake().start()
-        self.endpoints = [await Fake().start() for _ in range(self.count)]
-        rows = [row(f"s-{i}", fake.address) for i, fake in enumerate(self.endpoints)]
+        self.discovery = await FakeServer().start()
+        self.endpoints = [await FakeServer().start() for _ in range(self.count)]
+        rows = [endpoint_row(f"s-{i}", fake.address) for i, fake in enumerate(self.endpoints)]
         host, _, port = self.discovery.address.rpartition(":")
         self.config = Config(
             name="n0",
@@ -241,7 +243,7 @@
             discovery=Address(host, int(port)),
             seed=7,
             resource_limits=self.resource_limits,
-            known=read_endpoint_list(json.loads(listing(1, True, *rows))),
+            known=read_endpoint_list(json.loads(endpoint_list(1, True, *rows))),
             settings=read_settings(self.setup),
         )
         self.proxy = Proxy(self.config)
@@ -274,23 +276,23 @@
 
     def list_all_endpoints(self) -> None:
         """Deliver a complete list of all fake endpoints."""
-        self.list_endpoints(*(row(f"s-{i}", fake.address) for i, fake in enumerate(self.endpoints)))
+        self.list_endpoints(*(endpoint_row(f"s-{i}", fake.address) for i, fake in enumerate(self.endpoints)))
 
-    def merge_arrivals(self) -> asyncio.Queue[Asked]:
+    def merge_arrivals(self) -> asyncio.Queue[ReceivedRequest]:
         """The requests that all endpoints get from here on, in one queue."""
-        queue: asyncio.Queue[Asked] = asyncio.Queue()
+        queue: asyncio.Queue[ReceivedRequest] = asyncio.Queue()
         for fake in self.endpoints:
-            fake.asked = queue
+            fake.requests = queue
         return queue
 
     def nothing_arrived(self) -> bool:
         """Whether no endpoint has got a request that the test has not taken."""
-        return all(fake.asked.empty() for fake in self.endpoints)
+        return all(fake.requests.empty() for fake in self.endpoints)
 
-    async def serve_one(self, client: Client, class_name: str = "pay", **values: Any) -> Asked:
+    async def serve_one(self, client: Client, class_name: str = "pay", **values: Any) -> ReceivedRequest:
         """Send one request, have the first endpoint answer it, and return what the endpoint got."""
         client.send(class_name, **values)
-        received = await self.endpoints[0].next()
+        received = await self.endpoints[0].next_request()
         received.reply()
         assert (await client.answer()).status == 200
         return received
@@ -307,7 +309,7 @@
         """Have a request answered with `size` bytes by a client that does not read."""
         connection = await self.connection_of(client)
         client.send(deadline_ms=60_000)
-        (await self.endpoints[0].next()).reply(200, b"x" * size)
+        (await self.endpoints[0].next_request()).reply(200, b"x" * size)
         await wait_until(lambda: connection.current_request is None, 0.001)
 
     async def connection_of(self, client: Client) -> ClientConnection:
@@ -320,7 +322,7 @@
             await asyncio.sleep(0.001)
 
 
-def started(tmp_path: Path, changes: dict[str, Any], **variables: str) -> subprocess.Popen[str]:
+def start_program(tmp_path: Path, changes: dict[str, Any], **variables: str) -> subprocess.Popen[str]:
     """The program as a process of its own, told by a file in `tmp_path` and by these variables."""
     document = {"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "8c1f", **changes}
     path = tmp_path / "config.json"
@@ -334,31 +336,33 @@
     )
 
 
-async def one_attempt(sidecar: Sidecar, class_name: str = "pay") -> tuple[Asked, Client]:
+async def send_first_attempt(sidecar: Sidecar, class_name: str = "pay") -> tuple[ReceivedRequest, Client]:
     """Send one request and return the endpoint's side of it, wherever it went, and the client."""
     client = await sidecar.client()
     client.send(class_name)
-    return await first_asked(sidecar), client
+    return await first_request(sidecar), client
 
 
-async def first_asked(sidecar: Sidecar) -> Asked:
+async def first_request(sidecar: Sidecar) -> ReceivedRequest:
     """The next request that any endpoint gets."""
-    waits = [asyncio.create_task(fake.next()) for fake in sidecar.endpoints]
+    waits = [asyncio.create_task(fake.next_request()) for fake in sidecar.endpoints]
     done, pending = await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
     for task in pending:
         task.cancel()
     return done.pop().result()
 
 
-async def ready(client: Client) -> int:
+async def readiness_status(client: Client) -> int:
     client.writer.write(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
     return (await client.answer()).status
 
 
-class Program:
+class SidecarProcess:
     """The program in service as a process of its own, with one fake endpoint."""
 
-    def __init__(self, process: subprocess.Popen[str], endpoint: Fake, address: tuple[str, int]) -> None:
+    def __init__(
+        self, process: subprocess.Popen[str], endpoint: FakeServer, address: tuple[str, int]
+    ) -> None:
         self.process = process
         self.endpoint = endpoint
         self.address = address
@@ -382,18 +386,20 @@
 
 
 @contextlib.asynccontextmanager
-async def program(tmp_path: Path, changes: dict[str, Any], **variables: str) -> AsyncIterator[Program]:
-    endpoint = await Fake().start()
+async def running_program(
+    tmp_path: Path, changes: dict[str, Any], **variables: str
+) -> AsyncIterator[SidecarProcess]:
+    endpoint = await FakeServer().start()
     address = ("127.0.0.1", free_port())
     document = {
         "listen": f"127.0.0.1:{address[1]}",
-        "settings": SETUP,
-        "known": json.loads(listing(1, True, row("s-0", endpoint.address))),
+        "settings": SETTINGS,
+        "known": json.loads(endpoint_list(1, True, endpoint_row("s-0", endpoint.address))),
         **changes,
     }
-    process = started(tmp_path, document, **variables)
+    process = start_program(tmp_path, document, **variables)
     try:
-        running = Program(process, endpoint, address)
+        running = SidecarProcess(process, endpoint, address)
         await running.line_with("event=serving ")
         yield running
     finally:
--- a/tests/test_answer_framing.py
+++ b/tests/test_answer_framing.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.sidecar_support import Sidecar, first_asked, one_attempt, run
+from tests.sidecar_support import Sidecar, first_request, run, send_first_attempt
 
 NO_LENGTH = b"HTTP/1.1 200 OK\r\nX-Note: n\r\n\r\n"
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding:%s\r\n\r\n"
@@ -34,7 +34,7 @@
 def test_answer_with_no_length_ends_with_its_connection(body: bytes, in_parts: bool) -> None:
     async def test() -> None:
         async with Sidecar() as sidecar:
-            asked, client = await one_attempt(sidecar)
+            asked, client = await send_first_attempt(sidecar)
             if in_parts:
                 await sent_in_parts(asked.writer, NO_LENGTH + body)
             else:
@@ -42,7 +42,7 @@
             asked.writer.close()
             answer = await client.answer()
             assert (answer.status, answer.body) == (200, body)
-            asked, client = await one_attempt(sidecar)  # and the next one is framed as it states
+            asked, client = await send_first_attempt(sidecar)  # and the next one is framed as it states
             asked.reply(200, b"next")
             assert (await client.answer()).body == b"next"
 
@@ -54,10 +54,10 @@
 
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
-            asked, client = await one_attempt(sidecar)
+            asked, client = await send_first_attempt(sidecar)
             asked.writer.write(b"HTTP/1.1 503 X\r\nSrv-Declined: 1\r\n\r\nfull")
             asked.writer.close()
-            (await first_asked(sidecar)).reply()
+            (await first_request(sidecar)).reply()
             assert (await client.answer()).status == 200
 
     run(test())
@@ -67,13 +67,13 @@
 def test_reset_does_not_end_an_answer_with_no_length(sent: bytes) -> None:
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
-            asked, client = await one_attempt(sidecar)
+            asked, client = await send_first_attempt(sidecar)
             asked.writer.write(sent)
             while not any(c.last_data_us is not None for c in sidecar.proxy.upstream.active):
                 await asyncio.sleep(0.01)
             reset(asked.writer)
             assert (await client.answer()).status == 502
-            assert all(fake.asked.empty() for fake in sidecar.endpoints)
+            assert all(fake.requests.empty() for fake in sidecar.endpoints)
 
     run(test())
 
@@ -83,10 +83,10 @@
 
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
-            asked, client = await one_attempt(sidecar)
+            asked, client = await send_first_attempt(sidecar)
             asked.writer.write(NO_LENGTH + b"all of it")
             assert (await client.answer()).status == 502
-            assert all(fake.asked.empty() for fake in sidecar.endpoints)
+            assert all(fake.requests.empty() for fake in sidecar.endpoints)
 
     run(test())
 
@@ -97,7 +97,7 @@
 
     async def test() -> None:
         async with Sidecar() as sidecar:
-            asked, client = await one_attempt(sidecar)
+            asked, client = await send_first_attempt(sidecar)
             asked.writer.write(CHUNKED % value + CHUNKS)
             answer = await client.answer()
             assert (answer.status, answer.body) == (200, b"all of it")
@@ -112,11 +112,11 @@
 
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
-            asked, client = await one_attempt(sidecar)
+            asked, client = await send_first_attempt(sidecar)
             asked.writer.write(CHUNKED % value + CHUNKS[: len(CHUNKS) - left_out])
             asked.writer.close()
             assert (await client.answer()).status == 502
-            assert all(fake.asked.empty() for fake in sidecar.endpoints)
+            assert all(fake.requests.empty() for fake in sidecar.endpoints)
 
     run(test())
 
@@ -127,7 +127,7 @@
 
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
-            asked, client = await one_attempt(sidecar)
+            asked, client = await send_first_attempt(sidecar)
             asked.writer.write(CHUNKED % value + CHUNKS)
             asked.writer.close()
             assert (await client.answer()).status == 502
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -14,14 +14,14 @@
 from corkdoor.sidecar.clients.timeouts import ClientTimeouts
 from corkdoor.sidecar.clock import now_us
 from tests.sidecar_support import REQUEST_HEAD as HEAD
-from tests.sidecar_support import Client, Sidecar, program, ready, wait_until
+from tests.sidecar_support import Client, Sidecar, readiness_status, running_program, wait_until
 
 
 async def test_client_that_leaves_cancels_the_attempt() -> None:
     async with Sidecar() as sidecar:
         client = await sidecar.client()
         client.send(deadline_ms=3_000_000)  # so that no attempt ends by time within the test
-        await sidecar.endpoints[0].next()
+        await sidecar.endpoints[0].next_request()
         client.writer.close()
         assert await sidecar.endpoints[0].ends.get() == 0
         assert not sidecar.proxy.requests
@@ -35,7 +35,7 @@
     async with Sidecar(timeouts=timeouts) as sidecar:
         waiting = await sidecar.client()
         waiting.send(deadline_ms=3_000_000)
-        received = await sidecar.endpoints[0].next()
+        received = await sidecar.endpoints[0].next_request()
         client = await sidecar.client()
         client.writer.write(sent.encode())
         if sent.startswith("POST /pay HTTP"):
@@ -52,7 +52,7 @@
     """Some ask once and keep their connection for good: without an end to that they add up."""
     async with Sidecar(timeouts=ClientTimeouts(idle_s=0.1, check_interval_s=0.02)) as sidecar:
         client = await sidecar.client()
-        assert await ready(client) == 200
+        assert await readiness_status(client) == 200
         assert await client.reader.read() == b""
         assert not sidecar.server.clients
 
@@ -61,20 +61,20 @@
     """Not the one that connected first: that is likely a good one."""
     async with Sidecar(clients=3) as sidecar:
         good = await sidecar.client()
-        assert await ready(good) == 200
+        assert await readiness_status(good) == 200
         silent, younger = await sidecar.client(), await sidecar.client()
         busy = await sidecar.client()
         assert await silent.reader.read() == b""
         busy.send()
-        received = await sidecar.endpoints[0].next()
-        assert await ready(younger) == 200
+        received = await sidecar.endpoints[0].next_request()
+        assert await readiness_status(younger) == 200
         # All are in use or were lately: the new one has requested nothing and is closed at once.
         extra = await sidecar.client()
         assert await extra.reader.read() == b""
         sidecar.server.clients.evictable_idle_s = 0.0
         newest = await sidecar.client()
         assert await good.reader.read() == b""  # the one idle longest
-        assert [await ready(newest), await ready(younger)] == [200, 200]
+        assert [await readiness_status(newest), await readiness_status(younger)] == [200, 200]
         received.reply()
         assert (await busy.answer()).status == 200
 
@@ -92,7 +92,7 @@
             await wait_until(lambda: clients.idle_count if established else clients.new_count)
             other = await sidecar.client()
             if established:
-                assert await ready(other) == 200
+                assert await readiness_status(other) == 200
             add = clients.add
 
             def send_and_add(connection: ClientConnection) -> None:
@@ -102,7 +102,7 @@
             monkeypatch.setattr(clients, "add", send_and_add)
             await sidecar.client()
             assert await other.reader.read() == b""
-            (await sidecar.endpoints[0].next()).reply()
+            (await sidecar.endpoints[0].next_request()).reply()
             client = Client(*await asyncio.open_connection(sock=first.dup()))
             for _ in range(1 + established):
                 assert (await client.answer()).status == 200
@@ -112,7 +112,7 @@
     async with Sidecar(held=1000) as sidecar:
         first, second = await sidecar.client(), await sidecar.client()
         first.send(body=b"x" * 700)
-        received = await sidecar.endpoints[0].next()
+        received = await sidecar.endpoints[0].next_request()
         second.send(body=b"x" * 700)
         answer = await second.answer()
         assert (answer.status, answer.headers["retry-after"]) == (503, "1")
@@ -128,7 +128,7 @@
     async with Sidecar(held=1000) as sidecar:
         client = await sidecar.client()
         client.send("pay", body=b"x" * 700)
-        await sidecar.endpoints[0].next()
+        await sidecar.endpoints[0].next_request()
         client.send("pay", body=b"x" * 700)
         assert (await client.answer()).status == 500
         assert sidecar.proxy.requests.accepted == 1
@@ -144,7 +144,7 @@
         with contextlib.suppress(TimeoutError):
             while served < 400:
                 client.send()
-                (await asyncio.wait_for(endpoint.next(), 0.3)).reply(200, b"x" * 65_000)
+                (await asyncio.wait_for(endpoint.next_request(), 0.3)).reply(200, b"x" * 65_000)
                 served += 1
         assert served < 400
         await wait_until(lambda: not sidecar.server.clients)
@@ -154,7 +154,7 @@
     """Past its limit the process could neither accept nor reach an endpoint."""
     sockets = 64
 
-    async with program(tmp_path, {"limits": {"sockets": sockets, "memory_mb": 64}}) as running:
+    async with running_program(tmp_path, {"limits": {"sockets": sockets, "memory_mb": 64}}) as running:
         most = 0
         silent = []
         for _ in range(2 * sockets):
@@ -162,7 +162,7 @@
             most = max(most, len(os.listdir(f"/proc/{running.process.pid}/fd")))
         client = await running.client()
         client.send()
-        (await running.endpoint.next()).reply()
+        (await running.endpoint.next_request()).reply()
         assert (await client.answer()).status == 200
         assert sockets / 2 < most <= sockets
 
@@ -172,7 +172,7 @@
     async with Sidecar(timeouts=ClientTimeouts(linger_s=0.5, check_interval_s=0.01)) as sidecar:
         client = await sidecar.client()
         client.send(Connection="close")
-        received = await sidecar.endpoints[0].next()
+        received = await sidecar.endpoints[0].next_request()
         connection = await sidecar.connection_of(client)
         connection.phase_started_us -= 60_000_000
         received.reply(200, b"x" * 60_000)
--- a/tests/test_client_departures.py
+++ b/tests/test_client_departures.py
@@ -14,7 +14,7 @@
 from corkdoor.sidecar.clients.backlog import MAX_WAITING_REQUESTS
 from corkdoor.sidecar.clients.timeouts import ClientTimeouts
 from corkdoor.sidecar.upstream.connection import Connection
-from tests.sidecar_support import SETUP, Client, Sidecar, first_asked, read_message, wait_until
+from tests.sidecar_support import SETTINGS, Client, Sidecar, first_request, read_message, wait_until
 
 NEVER_MS = 3_000_000  # a deadline that is not reached within a test
 SLOW_CONNECT_US = 9_000_000
@@ -33,7 +33,7 @@
 async def check_only_other_client_is_served(sidecar: Sidecar, other: Client) -> None:
     """What this client requests next is all that any endpoint still gets."""
     other.send(request_id="last")
-    received = await first_asked(sidecar)
+    received = await first_request(sidecar)
     assert received.message.headers["req-id"] == "last"
     received.reply()
     assert (await other.answer()).status == 200
@@ -56,7 +56,7 @@
 async def test_client_leaves_while_a_connection_comes_up(
     cancellation_allowed: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    allowed = {**SETUP["Allowed"], "MayCancel": cancellation_allowed, "ConnectTimeoutUs": SLOW_CONNECT_US}
+    allowed = {**SETTINGS["Allowed"], "MayCancel": cancellation_allowed, "ConnectTimeoutUs": SLOW_CONNECT_US}
     async with Sidecar(Allowed=allowed) as sidecar:
         connected, client_left = asyncio.Event(), asyncio.Event()
         connect = sidecar.proxy.upstream.connect
@@ -78,10 +78,10 @@
 
 async def test_client_leaves_between_two_attempts() -> None:
     """The first attempt goes on, for cancels are not allowed, and is rejected: no second one follows."""
-    async with Sidecar(endpoints=2, Allowed={**SETUP["Allowed"], "MayCancel": False}) as sidecar:
+    async with Sidecar(endpoints=2, Allowed={**SETTINGS["Allowed"], "MayCancel": False}) as sidecar:
         client, other = await sidecar.client(), await sidecar.client()
         client.send(request_id="first")
-        received = await first_asked(sidecar)
+        received = await first_request(sidecar)
         client.writer.close()
         await until_no_request_is_open(sidecar)
         received.reply(503, b"", "Srv-Declined: 1")
@@ -95,7 +95,7 @@
     async with Sidecar() as sidecar:
         client, other = await sidecar.client(), await sidecar.client()
         client.send(deadline_ms=NEVER_MS)
-        received = await sidecar.endpoints[0].next()
+        received = await sidecar.endpoints[0].next_request()
         for _ in range(waiting):
             client.send(deadline_ms=NEVER_MS)
         await wait_until(lambda: any(each.waiting_requests == waiting for each in sidecar.server.clients))
@@ -220,7 +220,7 @@
 async def test_client_leaves_as_its_connection_to_an_endpoint_comes_up(
     leave: Leave, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    allowed = {**SETUP["Allowed"], "ConnectTimeoutUs": SLOW_CONNECT_US}
+    allowed = {**SETTINGS["Allowed"], "ConnectTimeoutUs": SLOW_CONNECT_US}
     async with Sidecar(Allowed=allowed) as sidecar:
         connect = sidecar.proxy.upstream.connect
         client, other = connect_blocking(sidecar), await sidecar.client()
@@ -242,7 +242,7 @@
     async with Sidecar(endpoints=2) as sidecar:
         await open_idle_connections(sidecar, 1)
         client, other = connect_blocking(sidecar), await sidecar.client()
-        received = await first_asked(sidecar)
+        received = await first_request(sidecar)
         received.reply(503, b"", "Srv-Declined: 1")
         leave(client)
         await check_departed_client_is_forgotten(sidecar, client, other)
@@ -255,7 +255,7 @@
         client, other = connect_blocking(sidecar, "first", NEVER_MS), await sidecar.client()
         for number in range(MAX_WAITING_REQUESTS):
             client.sendall(request_bytes(f"behind-{number}", NEVER_MS))
-        received = await sidecar.endpoints[0].next()
+        received = await sidecar.endpoints[0].next_request()
         await wait_until(lambda: any(each.is_reading_paused for each in sidecar.server.clients))
         received.reply()
         leave(client)
@@ -279,7 +279,7 @@
 
         async def serve(number: int) -> None:
             while True:
-                received = await sidecar.endpoints[number].next()
+                received = await sidecar.endpoints[number].next_request()
                 arrived.append(received.message.headers["req-id"])
                 received.reply()
 
--- a/tests/test_client_requests.py
+++ b/tests/test_client_requests.py
@@ -57,7 +57,7 @@
 async def test_request_that_no_endpoint_can_serve_is_rejected_in_time_with_retry_after() -> None:
     async with Sidecar(endpoints=0) as sidecar:
         begun = time.monotonic()
-        answer = await (await sidecar.client()).ask("look", deadline_ms=3000)
+        answer = await (await sidecar.client()).request("look", deadline_ms=3000)
         assert answer.status == 503
         assert float(answer.headers["retry-after"]) > 0
         assert time.monotonic() - begun < 2.0
@@ -81,7 +81,7 @@
         client = await sidecar.client()
         body = "3;a=b\r\nabc\r\n2\r\nde\r\n0\r\nReq-Id: 2\r\n\r\n"
         client.writer.write((HEAD + CHUNKED + body).encode())
-        received = await sidecar.endpoints[0].next()
+        received = await sidecar.endpoints[0].next_request()
         assert received.message.body == b"abcde"
         assert received.message.headers["content-length"] == "5"
         assert received.message.headers["req-id"] == "1"
@@ -95,7 +95,7 @@
     async with Sidecar() as sidecar:
         client = await sidecar.client()
         client.send(deadline_ms=3_000_000)
-        await sidecar.endpoints[0].next()
+        await sidecar.endpoints[0].next_request()
         client.writer.write(b"\x00\x01 the rest")
         assert (await client.answer()).status == 400
         assert await client.reader.read() == b""
@@ -125,7 +125,7 @@
 ) -> None:
     async with Sidecar() as sidecar:
         client = await sidecar.client()
-        assert (await client.ask(class_name, **changes)).status == status
+        assert (await client.request(class_name, **changes)).status == status
         assert sidecar.proxy.requests.accepted == 0
         assert sidecar.endpoints[0].connections == 0
 
@@ -144,8 +144,8 @@
     async with Sidecar() as sidecar:
         first, second = await sidecar.client(), await sidecar.client()
         first.send(request_id="0a")
-        received = await sidecar.endpoints[0].next()
-        assert (await second.ask(request_id="0a")).status == 409
+        received = await sidecar.endpoints[0].next_request()
+        assert (await second.request(request_id="0a")).status == 409
         assert await second.reader.read() == b""
         received.reply()
         assert (await first.answer()).status == 200
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.sidecar_support import Client, Fake, Sidecar, listing, row, run
+from tests.sidecar_support import Client, FakeServer, Sidecar, endpoint_list, endpoint_row, run
 
 ENDPOINTS = 6
 CLIENTS = 12
@@ -19,24 +19,24 @@
 RULES = {"ColdUs": 6_000_000, "ColdFrom": 0.1, "OverloadFactor": 2.0, "FallUs": 1_000_000}
 
 
-async def serve(fake: Fake, name: str, got: Counter[str]) -> None:
+async def serve(fake: FakeServer, name: str, got: Counter[str]) -> None:
     while True:
-        asked = await fake.next()
+        asked = await fake.next_request()
         got[name] += 1
         asked.reply()
 
 
 async def ask_often(client: Client) -> None:
     for _ in range(CALLS_EACH):
-        assert (await client.ask("look")).status == 200
+        assert (await client.request("look")).status == 200
 
 
 async def calls_by_endpoint(sidecar: Sidecar, *news: bytes) -> Counter[str]:
     """Let discovery tell this, one answer after the other, and count where the calls after it go."""
     heard = sidecar.proxy.balancer.endpoints
     for answer in news:
-        (await sidecar.discovery.next()).reply(200, answer)
-    await sidecar.discovery.next()  # the next watch: all news has been taken in
+        (await sidecar.discovery.next_request()).reply(200, answer)
+    await sidecar.discovery.next_request()  # the next watch: all news has been taken in
     assert len(heard) == ENDPOINTS
     got: Counter[str] = Counter()
     served = [asyncio.create_task(serve(fake, f"s-{i}", got)) for i, fake in enumerate(sidecar.endpoints)]
@@ -47,7 +47,7 @@
 
 
 def rows(sidecar: Sidecar) -> list[dict[str, Any]]:
-    return [row(f"s-{i}", fake.address) for i, fake in enumerate(sidecar.endpoints)]
+    return [endpoint_row(f"s-{i}", fake.address) for i, fake in enumerate(sidecar.endpoints)]
 
 
 @pytest.mark.parametrize("offset_ms", [-HOUR_MS, -HOUR_MS // 600, HOUR_MS])
@@ -62,7 +62,9 @@
             *others, last = rows(sidecar)
             before = [*others, last] if known_before else others
             last_started = {**last, "startedAtMs": time.time_ns() // 1_000_000 + offset_ms}
-            got = await calls_by_endpoint(sidecar, listing(2, True, *before), listing(3, False, last_started))
+            got = await calls_by_endpoint(
+                sidecar, endpoint_list(2, True, *before), endpoint_list(3, False, last_started)
+            )
             assert got.total() == CLIENTS * CALLS_EACH
             assert got["s-5"] <= COLD_MOST
 
@@ -76,7 +78,7 @@
         async with Sidecar(endpoints=ENDPOINTS, Rules={**RULES, "ColdUs": 300_000}) as sidecar:
             *others, last = rows(sidecar)
             ahead = {**last, "startedAtMs": time.time_ns() // 1_000_000 + HOUR_MS}
-            news = (listing(2, True, *others), listing(3, False, ahead))
+            news = (endpoint_list(2, True, *others), endpoint_list(3, False, ahead))
             await calls_by_endpoint(sidecar, *news)
             told = sidecar.proxy.balancer.endpoints["s-5"]
             while (
@@ -96,9 +98,9 @@
             *others, last = rows(sidecar)
             old = {**last, "startedAtMs": time.time_ns() // 1_000_000 - HOUR_MS}
             news = (
-                listing(2, True, *others, old),
-                listing(3, True, *others),
-                listing(4, False, old),
+                endpoint_list(2, True, *others, old),
+                endpoint_list(3, True, *others),
+                endpoint_list(4, False, old),
             )
             got = await calls_by_endpoint(sidecar, *news)
             assert got["s-5"] > COLD_MOST
--- a/tests/test_concurrency_limit.py
+++ b/tests/test_concurrency_limit.py
@@ -18,7 +18,7 @@
 from corkdoor.sidecar.clients.timeouts import ClientTimeouts
 from corkdoor.sidecar.clock import now_us
 from corkdoor.sidecar.upstream import attempt, connection, manager, pool
-from tests.sidecar_support import Asked, Client, Sidecar
+from tests.sidecar_support import Client, ReceivedRequest, Sidecar
 
 # A slow machine may check clients before they are in use, and would close them by the test's clock.
 PATIENT = ClientTimeouts(first_request_s=3600.0, idle_s=3600.0)
@@ -38,7 +38,9 @@
             monkeypatch.setattr(module, "now_us", lambda: self.us)
 
 
-async def serve(queue: asyncio.Queue[Asked], clock: Clock, clients: list[Client], latency_us: int) -> None:
+async def serve(
+    queue: asyncio.Queue[ReceivedRequest], clock: Clock, clients: list[Client], latency_us: int
+) -> None:
     """Each of these clients sends one request; all are answered together, so much later."""
     for client in clients:
         client.send("look")
@@ -51,7 +53,7 @@
 
 
 async def fail_until_ejected(
-    sidecar: Sidecar, queue: asyncio.Queue[Asked], count: int, clock: Clock | None = None
+    sidecar: Sidecar, queue: asyncio.Queue[ReceivedRequest], count: int, clock: Clock | None = None
 ) -> None:
     """The first `count` endpoints fail all that they get, the others serve, until those are ejected."""
     client = await sidecar.client()
@@ -65,7 +67,7 @@
         await client.answer()
 
 
-async def count_admitted(sidecar: Sidecar, queue: asyncio.Queue[Asked], count: int) -> int:
+async def count_admitted(sidecar: Sidecar, queue: asyncio.Queue[ReceivedRequest], count: int) -> int:
     """Send so many requests at once: how many reach endpoints, which answer none; the others are rejected."""
     seen: asyncio.Queue[int] = asyncio.Queue()
 
--- a/tests/test_config_ranges.py
+++ b/tests/test_config_ranges.py
@@ -8,25 +8,25 @@
 import pytest
 
 from corkdoor.settings_reader import read_settings
-from tests.sidecar_support import SETUP, started
+from tests.sidecar_support import SETTINGS, start_program
 
 
 def test_inner_layer_starts_without_the_names_of_tiers() -> None:
-    assert read_settings({**SETUP, "Tiers": None, "Layer": 2}).layer == 2
+    assert read_settings({**SETTINGS, "Tiers": None, "Layer": 2}).layer == 2
 
 
 @pytest.mark.parametrize(
     ("changes", "reason"),
     [
-        ({"settings": {**SETUP, "OverShareWorth": 10**400}}, "settings"),
-        ({"settings": SETUP, "limits": {"memory_mb": 10**400}}, "limits.memory_mb"),
-        ({"settings": SETUP, "limits": {"sockets": float("inf")}}, "limits.sockets"),
+        ({"settings": {**SETTINGS, "OverShareWorth": 10**400}}, "settings"),
+        ({"settings": SETTINGS, "limits": {"memory_mb": 10**400}}, "limits.memory_mb"),
+        ({"settings": SETTINGS, "limits": {"sockets": float("inf")}}, "limits.sockets"),
     ],
 )
 def test_numbers_out_of_range_end_with_one_plain_line(
     tmp_path: Path, changes: dict[str, Any], reason: str
 ) -> None:
-    process = started(tmp_path, changes)
+    process = start_program(tmp_path, changes)
     _, said = process.communicate(timeout=20)
     assert (process.returncode, len(said.splitlines())) == (1, 1)
     assert reason in said
--- a/tests/test_crowded_discovery.py
+++ b/tests/test_crowded_discovery.py
@@ -31,7 +31,7 @@
 )
 from corkdoor.settings import LifecycleRules
 from emulator.crowded_discovery import Fleet, Scenario
-from tests.sidecar_support import Sidecar, listing, row, run
+from tests.sidecar_support import Sidecar, endpoint_list, endpoint_row, run
 from tests.support import MS, Host, S, endpoints, settings
 
 WATCH_US = 3_500 * MS  # a watch is answered after so long
@@ -44,13 +44,13 @@
     async def test() -> None:
         async with Sidecar() as sidecar:
             for _ in range(4):
-                (await sidecar.discovery.next()).reply(503, b"")
+                (await sidecar.discovery.next_request()).reply(503, b"")
             begun = time.monotonic()
             for _ in range(3):
-                (await sidecar.discovery.next()).reply(503, b"")
-            drains = row("s-0", sidecar.endpoints[0].address, "draining")
-            (await sidecar.discovery.next()).reply(200, listing(2, True, drains))
-            await sidecar.discovery.next()
+                (await sidecar.discovery.next_request()).reply(503, b"")
+            drains = endpoint_row("s-0", sidecar.endpoints[0].address, "draining")
+            (await sidecar.discovery.next_request()).reply(200, endpoint_list(2, True, drains))
+            await sidecar.discovery.next_request()
             assert time.monotonic() - begun < TOLD_S
 
     run(test(), 30.0)
--- a/tests/test_draining.py
+++ b/tests/test_draining.py
@@ -13,7 +13,7 @@
 
 from corkdoor.sidecar import graceful_shutdown
 from corkdoor.sidecar.graceful_shutdown import ShutdownTimeouts, shut_down
-from tests.sidecar_support import Client, Sidecar, program, run
+from tests.sidecar_support import Client, Sidecar, run, running_program
 
 # Over soon; the last wait is ample for a slow machine, and ends when all clients have left.
 SHORT = ShutdownTimeouts(
@@ -68,7 +68,7 @@
             at("event=shutdown_closing clients=0 ", connect)
             drain = asyncio.create_task(shut_down(sidecar.server, sidecar.proxy, SHORT))
             for _ in range(3):
-                (await sidecar.endpoints[0].next()).reply()
+                (await sidecar.endpoints[0].next_request()).reply()
             for sock in callers:
                 client = Client(*await asyncio.open_connection(sock=sock))
                 assert (await client.answer()).status == 200
@@ -82,7 +82,7 @@
         async with Sidecar() as sidecar:
             client = await sidecar.client()
             client.send(deadline_ms=30_000)
-            await sidecar.endpoints[0].next()
+            await sidecar.endpoints[0].next_request()
             client.send(deadline_ms=30_000)
             client.send(deadline_ms=30_000)
             while sum(caller.waiting_requests for caller in sidecar.server.clients) < 2:
@@ -90,7 +90,7 @@
             await shut_down(sidecar.server, sidecar.proxy, SHORT)
             assert [(await client.answer()).status for _ in range(3)] == [504, 503, 503]
             assert await client.reader.read() == b""
-            assert sidecar.endpoints[0].asked.empty()
+            assert sidecar.endpoints[0].requests.empty()
             assert not sidecar.server.clients
 
     run(test())
@@ -110,7 +110,7 @@
             assert (answer.status, answer.headers["connection"]) == (503, "close")
             client.writer.close()
             await drain
-            assert sidecar.endpoints[0].asked.empty()
+            assert sidecar.endpoints[0].requests.empty()
 
     run(test())
 
@@ -124,7 +124,7 @@
         async with Sidecar() as sidecar:
             busy, late = await sidecar.client(), socket.create_connection(("127.0.0.1", sidecar.port))
             busy.send(deadline_ms=30_000)
-            await sidecar.endpoints[0].next()
+            await sidecar.endpoints[0].next_request()
             late.sendall(REQUEST[:-1] % 1)
             while not any(caller.is_receiving for caller in sidecar.server.clients):
                 await asyncio.sleep(0.01)
@@ -133,7 +133,7 @@
             client = Client(*await asyncio.open_connection(sock=late))
             assert (await client.answer()).status == 503
             assert (await busy.answer()).status == 504
-            assert sidecar.endpoints[0].asked.empty()
+            assert sidecar.endpoints[0].requests.empty()
 
     run(test())
 
@@ -142,7 +142,7 @@
     """The loop gives its signals back on its way out, and SIGHUP would then end the process."""
 
     async def test() -> None:
-        async with program(tmp_path, {}) as running:
+        async with running_program(tmp_path, {}) as running:
             running.process.send_signal(signal.SIGTERM)
             await running.line_with("event=shutdown_rejecting ")
             while running.process.poll() is None:
--- a/tests/test_emulator_discovery.py
+++ b/tests/test_emulator_discovery.py
@@ -17,13 +17,13 @@
 from corkdoor.sidecar.discovery.endpoint_list import ResolvedEndpoint
 from corkdoor.sidecar.discovery.watcher import DiscoveryWatcher
 from emulator.discovery import LOG_KEPT, Cost, DiscoveryServer, Registry, SerialQueue, read_call
-from tests.sidecar_support import row, run
+from tests.sidecar_support import endpoint_row, run
 
 FREE = Cost(call_us=0, byte_ns=0)
 
 
 def rows(count: int) -> list[dict[str, Any]]:
-    return [row(f"s-{i}", "127.0.0.1:9") for i in range(count)]
+    return [endpoint_row(f"s-{i}", "127.0.0.1:9") for i in range(count)]
 
 
 def told(registry: Registry, after: int | None) -> dict[str, Any]:
@@ -38,8 +38,8 @@
     registry = Registry({"a": rows(2)})
     first = told(registry, None)
     assert (first["generation"], first["reset"], len(first["instances"])) == (1, True, 2)
-    registry.change("a", [row("s-1", "127.0.0.1:9", "draining")])
-    registry.change("a", [row("s-1", "127.0.0.1:9", "gone")])
+    registry.change("a", [endpoint_row("s-1", "127.0.0.1:9", "draining")])
+    registry.change("a", [endpoint_row("s-1", "127.0.0.1:9", "gone")])
     after = told(registry, 1)
     assert (after["generation"], after["reset"]) == (3, False)
     assert [entry["lifecycle"] for entry in after["instances"]] == ["gone"]  # only its last state
@@ -71,12 +71,14 @@
         )
     )
     def change(self, changed: list[tuple[int, str]]) -> None:
-        self.registry.change("a", [row(f"s-{i}", "127.0.0.1:9", life) for i, life in changed])
+        self.registry.change("a", [endpoint_row(f"s-{i}", "127.0.0.1:9", life) for i, life in changed])
 
     @rule(many=st.integers(1, 200))
     def churn(self, many: int) -> None:
         for i in range(many):
-            self.registry.change("a", [row(f"s-{i % 4}", "127.0.0.1:9"), row("s-5", "127.0.0.1:9", "gone")])
+            self.registry.change(
+                "a", [endpoint_row(f"s-{i % 4}", "127.0.0.1:9"), endpoint_row("s-5", "127.0.0.1:9", "gone")]
+            )
 
     @rule(watcher=st.integers(0, 1))
     def ask(self, watcher: int) -> None:
@@ -180,8 +182,8 @@
         told.watcher.start()
         assert await told.next() == (WatchEventKind.FULL, ["s-0 ready", "s-1 ready"])
         await until(lambda: server.figures.calls["watch"] == 2)
-        server.change("b", [row("s-9", "127.0.0.1:9")])  # another service's: not ours to hear
-        server.change("a", [row("s-1", "127.0.0.1:9", "draining")])
+        server.change("b", [endpoint_row("s-9", "127.0.0.1:9")])  # another service's: not ours to hear
+        server.change("a", [endpoint_row("s-1", "127.0.0.1:9", "draining")])
         assert await told.next() == (WatchEventKind.DELTA, ["s-1 draining"])
         assert told.watcher.generation == 2
         told.watcher.stop()
@@ -201,7 +203,7 @@
         host, _, port = server.address("a").rpartition(":")
         with pytest.raises(ConnectionRefusedError):
             await asyncio.open_connection(host, int(port))
-        server.change("a", [row("s-0", "127.0.0.1:9", "gone")])
+        server.change("a", [endpoint_row("s-0", "127.0.0.1:9", "gone")])
         await server.outage(False)
         assert await told.next() == (WatchEventKind.DELTA, ["s-0 gone"])
         told.watcher.stop()
@@ -234,7 +236,7 @@
         told.watcher.start()
         await until(lambda: server.figures.calls["watch"] == 1)
         server.silence(False)
-        server.change("a", [row("s-0", "127.0.0.1:9", "gone")])
+        server.change("a", [endpoint_row("s-0", "127.0.0.1:9", "gone")])
         assert told.lists.empty()  # the call that came in the silence stays without an answer
         told.watcher.stop()
         await server.stop()
--- a/tests/test_failing_system_calls.py
+++ b/tests/test_failing_system_calls.py
@@ -15,7 +15,7 @@
 import pytest
 
 from faults.preload import SHORT, Call, FaultControl, build
-from tests.sidecar_support import Fake, Program, listing, program, row
+from tests.sidecar_support import FakeServer, SidecarProcess, endpoint_list, endpoint_row, running_program
 
 ANSWER = b"x" * 3000
 
@@ -25,25 +25,25 @@
     return build(tmp_path_factory.mktemp("preload"))
 
 
-async def serve(running: Program) -> None:
+async def serve(running: SidecarProcess) -> None:
     while True:
-        (await running.endpoint.next()).reply(200, ANSWER)
+        (await running.endpoint.next_request()).reply(200, ANSWER)
 
 
 async def check_served_despite(
-    running: Program, control: FaultControl, call: Call, error: int, skip: int
+    running: SidecarProcess, control: FaultControl, call: Call, error: int, skip: int
 ) -> None:
     """Send requests on a connection that is up already, and on new ones, while that call fails."""
     serving = asyncio.create_task(serve(running))
     client = await running.client()
-    assert (await client.ask("look")).status == 200
+    assert (await client.request("look")).status == 200
     if error == SHORT:
         control.shorten_next(call, limit=3, count=50)
     else:
         control.fail_next(call, error, skip=skip)
     for class_name in ("pay", "look"):
-        assert (await client.ask(class_name)).body == ANSWER
-        assert (await (await running.client()).ask(class_name)).body == ANSWER
+        assert (await client.request(class_name)).body == ANSWER
+        assert (await (await running.client()).request(class_name)).body == ANSWER
     assert control.hits(call) > 0
     serving.cancel()
     assert running.process.poll() is None
@@ -82,7 +82,7 @@
 async def test_client_whose_connection_could_not_be_accepted_at_once_is_served(
     error: int, skip: int, tmp_path: Path, control: FaultControl, environment: dict[str, str]
 ) -> None:
-    async with program(tmp_path, {}, **environment) as running:
+    async with running_program(tmp_path, {}, **environment) as running:
         await check_served_despite(running, control, Call.ACCEPT, error, skip)
 
 
@@ -107,7 +107,7 @@
     call: Call, error: int, skip: int, tmp_path: Path, control: FaultControl, environment: dict[str, str]
 ) -> None:
     """Whatever it hits: reading the request, forwarding it, reading the response or passing that on."""
-    async with program(tmp_path, {}, **environment) as running:
+    async with running_program(tmp_path, {}, **environment) as running:
         await check_served_despite(running, control, call, error, skip)
 
 
@@ -133,15 +133,15 @@
     call: Call, error: int, tmp_path: Path, control: FaultControl, environment: dict[str, str]
 ) -> None:
     """The request surely never ran, so it goes elsewhere, here to the other entry of the same endpoint."""
-    endpoint = await Fake().start()
-    rows = [row(f"s-{number}", endpoint.address) for number in range(3)]
-    known = {"known": json.loads(listing(1, True, *rows))}
-    async with program(tmp_path, known, **environment) as running:
+    endpoint = await FakeServer().start()
+    rows = [endpoint_row(f"s-{number}", endpoint.address) for number in range(3)]
+    known = {"known": json.loads(endpoint_list(1, True, *rows))}
+    async with running_program(tmp_path, known, **environment) as running:
         running.endpoint = endpoint
         serving = asyncio.create_task(serve(running))
         control.fail_next(call, error)
         for class_name in ("pay", "look"):
-            assert (await (await running.client()).ask(class_name)).body == ANSWER
+            assert (await (await running.client()).request(class_name)).body == ANSWER
         assert control.hits(call) > 0
         serving.cancel()
 
@@ -151,15 +151,15 @@
     error: int, tmp_path: Path, control: FaultControl, environment: dict[str, str]
 ) -> None:
     """The client's connection breaks under its request: others are served."""
-    async with program(tmp_path, {}, **environment) as running:
+    async with running_program(tmp_path, {}, **environment) as running:
         serving = asyncio.create_task(serve(running))
         client = await running.client()
-        assert (await client.ask("look")).status == 200
+        assert (await client.request("look")).status == 200
         control.fail_next(Call.READ, error)
         client.send("look")
         with contextlib.suppress(ConnectionResetError):
             assert await client.reader.read() == b""
-        assert (await (await running.client()).ask("pay")).body == ANSWER
+        assert (await (await running.client()).request("pay")).body == ANSWER
         serving.cancel()
         running.process.terminate()
         assert running.process.stderr is not None
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -16,7 +16,7 @@
 from corkdoor.sidecar.upstream.attempt import Attempt
 from corkdoor.sidecar.upstream.connection import Connection
 from corkdoor.sidecar.upstream.pool import EndpointPool
-from tests.sidecar_support import Fake, Sidecar, row, run
+from tests.sidecar_support import FakeServer, Sidecar, endpoint_row, run
 
 COUNTED = (Alarm, Attempt, ClientConnection, Connection, EndpointPool, ProxiedRequest)
 
@@ -36,7 +36,7 @@
             Req_Owner="?" if ending == "turned away" else "acme",
         )
         if ending != "turned away":
-            asked = await sidecar.endpoints[0].next()
+            asked = await sidecar.endpoints[0].next_request()
             if ending == "answered":
                 asked.reply(200, b"done", "Connection: close")
             elif ending == "spoilt":
@@ -78,9 +78,12 @@
         async with Sidecar(endpoints=1) as sidecar:
             address = sidecar.endpoints[0].address
             for i in range(50):
-                rows = [row(f"s-{i + 1}", address)]
+                rows = [endpoint_row(f"s-{i + 1}", address)]
                 if form is WatchEventKind.DELTA:
-                    rows += [row(f"s-{i}", address, "draining"), row(f"s-{i}", address, "gone")]
+                    rows += [
+                        endpoint_row(f"s-{i}", address, "draining"),
+                        endpoint_row(f"s-{i}", address, "gone"),
+                    ]
                 listing = read_endpoint_list({"generation": i, "reset": False, "instances": rows})
                 sidecar.proxy.on_watch_event(form, listing.entries)
             assert list(sidecar.proxy.upstream.pools) == ["s-50"]
@@ -94,17 +97,17 @@
 
     async def test() -> None:
         async with Sidecar(endpoints=1) as sidecar:
-            fake: Fake = sidecar.endpoints[0]
+            fake: FakeServer = sidecar.endpoints[0]
             old_client, new_client = await sidecar.client(), await sidecar.client()
             old_client.send()
-            old = await fake.next()
-            rows = [row("s-0", fake.address, "gone"), row("s-1", fake.address)]
+            old = await fake.next_request()
+            rows = [endpoint_row("s-0", fake.address, "gone"), endpoint_row("s-1", fake.address)]
             listing = read_endpoint_list({"generation": 2, "reset": False, "instances": rows})
             sidecar.proxy.on_watch_event(WatchEventKind.DELTA, listing.entries)
             balancer = sidecar.proxy.balancer
             assert set(balancer.endpoints) == {"s-0", "s-1"}  # one has something out
             new_client.send()
-            new = await fake.next()
+            new = await fake.next_request()
             assert new.connection != old.connection
             old.reply()
             assert (await old_client.answer()).status == 200
--- a/tests/test_header_values.py
+++ b/tests/test_header_values.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.sidecar_support import Sidecar, first_asked, one_attempt
+from tests.sidecar_support import Sidecar, first_request, send_first_attempt
 
 PLAIN = {
     "Req-Id": "r-1",
@@ -28,7 +28,7 @@
     async with Sidecar() as sidecar:
         client = await sidecar.client()
         client.writer.write(request(name, form.format(PLAIN[name])))
-        received = await sidecar.endpoints[0].next()
+        received = await sidecar.endpoints[0].next_request()
         assert received.message.headers["req-id"] == "r-1"
         assert received.message.headers["idempotency-key"] == "k1"
         received.reply()
@@ -42,7 +42,7 @@
         whole = request("Content-Length", "1")
         head = whole[:-1].replace(b"Content-Length:1", b"Transfer-Encoding:" + value.encode())
         client.writer.write(head + b"3\r\nabc\r\n0\r\n\r\n")
-        received = await sidecar.endpoints[0].next()
+        received = await sidecar.endpoints[0].next_request()
         assert received.message.body == b"abc"
         received.reply()
         assert (await client.answer()).status == 200
@@ -51,9 +51,9 @@
 @pytest.mark.parametrize("value", ["1", " 1", "1 ", " 1 \t"])
 async def test_rejection_by_an_endpoint_is_read_whatever_white_space_surrounds_it(value: str) -> None:
     async with Sidecar(endpoints=2) as sidecar:
-        received, client = await one_attempt(sidecar)
+        received, client = await send_first_attempt(sidecar)
         received.reply(503, b"", f"Srv-Declined:{value}")
-        (await first_asked(sidecar)).reply()
+        (await first_request(sidecar)).reply()
         assert (await client.answer()).status == 200
 
 
--- a/tests/test_idle_client_flood.py
+++ b/tests/test_idle_client_flood.py
@@ -11,7 +11,15 @@
 
 import pytest
 
-from tests.sidecar_support import SETUP, Client, Fake, Program, listing, program, row
+from tests.sidecar_support import (
+    SETTINGS,
+    Client,
+    FakeServer,
+    SidecarProcess,
+    endpoint_list,
+    endpoint_row,
+    running_program,
+)
 
 SOCKETS = 256
 INITIAL_CLIENTS = 200  # idle clients at the start, and then a hundred a second
@@ -46,26 +54,26 @@
             await asyncio.sleep(0.01)
 
 
-async def is_served(running: Program) -> bool:
+async def is_served(running: SidecarProcess) -> bool:
     """Whether a good client is served; if not, its connection was closed unread."""
     client: Client = await running.client()
     try:
-        return (await client.ask("look")).status == 200
+        return (await client.request("look")).status == 200
     except (asyncio.IncompleteReadError, ConnectionError):
         return False
     finally:
         client.writer.close()
 
 
-async def reply_to_all(fake: Fake) -> None:
+async def reply_to_all(fake: FakeServer) -> None:
     while True:
-        (await fake.next()).reply()
+        (await fake.next_request()).reply()
 
 
-async def serve_list(discovery: Fake, body: bytes) -> None:
+async def serve_list(discovery: FakeServer, body: bytes) -> None:
     """Answer each poll with the list; a watch on its next version waits."""
     while True:
-        received = await discovery.next()
+        received = await discovery.next_request()
         if "after=2&" not in received.message.first:
             received.reply(200, body)
 
@@ -76,7 +84,7 @@
 async def test_idle_clients_while_discovery_is_down(
     tmp_path: Path, form: str, begin: bytes, silent: bool
 ) -> None:
-    discovery, other = await Fake().start(), await Fake().start()
+    discovery, other = await FakeServer().start(), await FakeServer().start()
     port = int(discovery.address.rpartition(":")[2])
     if not silent:
         discovery.server.close()  # calls are refused until it listens there again
@@ -84,13 +92,13 @@
     changes = {
         "discovery": discovery.address,
         "limits": {"sockets": SOCKETS},
-        "settings": {**SETUP, "Discovery": form},
+        "settings": {**SETTINGS, "Discovery": form},
     }
-    async with program(tmp_path, changes) as running:
+    async with running_program(tmp_path, changes) as running:
         # Whoever counts wrong runs out for good.
         resource.prlimit(running.process.pid, resource.RLIMIT_NOFILE, (SOCKETS, SOCKETS))
         flood = ClientFlood(running.address, begin)
-        body = listing(2, True, row("s-1", other.address))
+        body = endpoint_list(2, True, endpoint_row("s-1", other.address))
         tasks = [asyncio.create_task(c) for c in (flood.connect(), reply_to_all(running.endpoint))]
         await flood.until_size(FLOOD_SIZE)
         served = [await is_served(running) for _ in range(20)]
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -12,7 +12,7 @@
 from corkdoor.sidecar.clients.close_reason import CloseReason
 from corkdoor.sidecar.invariants import Invariant, InvariantLog
 from corkdoor.sidecar.resend_guard import MAX_SEND_DELAY_US, Location, SentAttempt, may_send_again
-from tests.sidecar_support import Sidecar, first_asked, one_attempt, run
+from tests.sidecar_support import Sidecar, first_request, run, send_first_attempt
 
 S = 1_000_000
 WINDOW_US = 2 * S
@@ -93,14 +93,14 @@
 
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
-            _, client = await one_attempt(sidecar, "pay")
+            _, client = await send_first_attempt(sidecar, "pay")
             (call,) = sidecar.proxy.requests
             sidecar.proxy.send_attempt(call, "s-1", 0)
             sidecar.proxy.send_attempt(call, "s-0", 0)
             while sum(a.ended for a in sidecar.proxy.requests[call].attempts) < 2:
                 await asyncio.sleep(0.01)
             assert sidecar.proxy.invariants.prevented[Invariant.UNSAFE_RETRY] == 2
-            assert all(fake.asked.empty() for fake in sidecar.endpoints)
+            assert all(fake.requests.empty() for fake in sidecar.endpoints)
             client.writer.close()
 
     run(test())
@@ -109,7 +109,7 @@
 def test_connection_with_an_answer_owed_is_not_closed() -> None:
     async def test() -> None:
         async with Sidecar() as sidecar:
-            asked, client = await one_attempt(sidecar)
+            asked, client = await send_first_attempt(sidecar)
             (caller,) = sidecar.server.clients
             caller.close(CloseReason.IDLE)
             assert sidecar.proxy.invariants.broken[Invariant.CLOSED_UNANSWERED] == 1
@@ -124,8 +124,8 @@
         async with Sidecar(endpoints=2) as sidecar:
             client = await sidecar.client()
             client.send("pay", request_id="told")
-            (await first_asked(sidecar)).reply(503, b"", "Srv-Declined: 1")
-            (await first_asked(sidecar)).reply(500, b"")
+            (await first_request(sidecar)).reply(503, b"", "Srv-Declined: 1")
+            (await first_request(sidecar)).reply(500, b"")
             assert (await client.answer()).status == 502
 
     with caplog.at_level(logging.INFO):
--- a/tests/test_list_freshness.py
+++ b/tests/test_list_freshness.py
@@ -16,7 +16,7 @@
 from corkdoor.settings import LifecycleRules
 from corkdoor.sidecar.invariants import Invariant
 from corkdoor.sidecar.status_report import status_line
-from tests.sidecar_support import Sidecar, listing, row, run
+from tests.sidecar_support import Sidecar, endpoint_list, endpoint_row, run
 from tests.support import MS, S, settings
 
 GRACE_US = 1_500 * MS
@@ -85,14 +85,16 @@
 
     async def test() -> None:
         async with Sidecar(Rules={"DrainGraceUs": 0, "AskEveryUs": 10_000_000}) as sidecar:
-            (await sidecar.discovery.next()).reply(503, b"")
-            asking = await sidecar.discovery.next()
+            (await sidecar.discovery.next_request()).reply(503, b"")
+            asking = await sidecar.discovery.next_request()
             client = await sidecar.client()
             client.send(request_id="r-7")
-            (await sidecar.endpoints[0].next()).reply(200)
+            (await sidecar.endpoints[0].next_request()).reply(200)
             await client.answer()
-            asking.reply(200, listing(9, False, row("s-0", sidecar.endpoints[0].address, "draining")))
-            await sidecar.discovery.next()
+            asking.reply(
+                200, endpoint_list(9, False, endpoint_row("s-0", sidecar.endpoints[0].address, "draining"))
+            )
+            await sidecar.discovery.next_request()
             found = sidecar.proxy.invariants.possibly_broken
             assert found == ({Invariant.SENT_UNNOTIFIED: 1} if late else {})
             status = status_line(sidecar.proxy, 0, 0)
--- a/tests/test_live_settings.py
+++ b/tests/test_live_settings.py
@@ -20,10 +20,21 @@
 from corkdoor.sidecar.status_report import status_line
 from corkdoor.sidecar.upstream.connection import Connection
 from corkdoor.sidecar.upstream.manager import PoolManager
-from tests.sidecar_support import SETUP, Client, Fake, Program, Sidecar, listing, program, ready, row, run
+from tests.sidecar_support import (
+    SETTINGS,
+    Client,
+    FakeServer,
+    Sidecar,
+    SidecarProcess,
+    endpoint_list,
+    endpoint_row,
+    readiness_status,
+    run,
+    running_program,
+)
 
-NEW = {**SETUP["Categories"][0], "Name": "new"}
-LOOK, HOLD, PAY = SETUP["Categories"]
+NEW = {**SETTINGS["Categories"][0], "Name": "new"}
+LOOK, HOLD, PAY = SETTINGS["Categories"]
 
 
 def changed(
@@ -102,10 +113,10 @@
             assert queue.count == 2
             reload(sidecar, **without_pay())
             other = await sidecar.client()
-            assert (await other.ask()).status == 404
+            assert (await other.request()).status == 404
             assert (queue.count, len(sidecar.proxy.requests)) == (2, len(sent))
             for _ in sent:
-                (await sidecar.endpoints[0].next()).reply()
+                (await sidecar.endpoints[0].next_request()).reply()
             assert [(await client.answer()).status for client in sent] == [200] * len(sent)
 
     run(test())
@@ -115,14 +126,14 @@
     async def test() -> None:
         async with Sidecar() as sidecar:
             client = await sidecar.client()
-            assert (await client.ask("new")).status == 404
+            assert (await client.request("new")).status == 404
             client = await sidecar.client()
             client.send("look", Req_Owner="zeta")
             assert (await client.answer()).status == 400
             reload(sidecar, Categories=[LOOK, {**PAY, "Name": "new"}], Parties=[{"Name": "zeta"}])
             client = await sidecar.client()
             client.send("new", Req_Owner="zeta")
-            (await sidecar.endpoints[0].next()).reply()
+            (await sidecar.endpoints[0].next_request()).reply()
             assert (await client.answer()).status == 200
             client.send("look", Req_Owner="acme")
             assert (await client.answer()).status == 400
@@ -135,12 +146,12 @@
         async with Sidecar() as sidecar:
             client = await sidecar.client()
             client.send()
-            asked = await sidecar.endpoints[0].next()
+            asked = await sidecar.endpoints[0].next_request()
             reload(sidecar, Categories=[LOOK, HOLD, {**PAY, "Effect": "idempotent"}])
             asked.reset()
             assert (await client.answer()).status == 502  # at most once: it may have run
-            assert sidecar.endpoints[0].asked.empty()
-            assert (await client.ask()).status == 405  # what is safe to repeat is asked for with GET
+            assert sidecar.endpoints[0].requests.empty()
+            assert (await client.request()).status == 405  # what is safe to repeat is asked for with GET
 
     run(test())
 
@@ -150,9 +161,9 @@
         async with Sidecar() as sidecar:
             client = await sidecar.client()
             client.send()
-            (await sidecar.endpoints[0].next()).reply()
+            (await sidecar.endpoints[0].next_request()).reply()
             assert (await client.answer()).status == 200
-            reload(sidecar, Allowed={**SETUP["Allowed"], "ConnIdleUs": 20_000})
+            reload(sidecar, Allowed={**SETTINGS["Allowed"], "ConnIdleUs": 20_000})
             assert await sidecar.endpoints[0].ends.get() == 0
             assert sidecar.proxy.balancer.rules.idle_connections.closed_after_us == 20_000
 
@@ -166,10 +177,10 @@
     monkeypatch.setattr(PoolManager, "connect", connect)
 
     async def test() -> None:
-        async with Sidecar(Allowed={**SETUP["Allowed"], "ConnectTimeoutUs": 60_000_000}) as sidecar:
-            reload(sidecar, Allowed={**SETUP["Allowed"], "ConnectTimeoutUs": 20_000})
+        async with Sidecar(Allowed={**SETTINGS["Allowed"], "ConnectTimeoutUs": 60_000_000}) as sidecar:
+            reload(sidecar, Allowed={**SETTINGS["Allowed"], "ConnectTimeoutUs": 20_000})
             client = await sidecar.client()
-            assert (await client.ask(deadline_ms=60_000)).status == 503
+            assert (await client.request(deadline_ms=60_000)).status == 503
             assert sidecar.proxy.counters["attempts_connect_failed"]
 
     run(test())
@@ -182,7 +193,7 @@
             asked = []
             for client in busy:
                 client.send()
-                asked.append(await sidecar.endpoints[0].next())
+                asked.append(await sidecar.endpoints[0].next_request())
             silent = [await sidecar.client() for _ in range(3)]
             while len(sidecar.server.clients) < 6:
                 await asyncio.sleep(0.001)
@@ -203,7 +214,7 @@
             reload(sidecar, resource_limits=ResourceLimits(6, 400, 1 << 24))
             more = await sidecar.client()
             more.send()
-            (await sidecar.endpoints[0].next()).reply()
+            (await sidecar.endpoints[0].next_request()).reply()
             assert (await more.answer()).status == 200
 
     run(test())
@@ -215,7 +226,7 @@
             clients = [await sidecar.client() for _ in range(4)]
             for client in clients:
                 client.send()
-                (await sidecar.endpoints[0].next()).reply()
+                (await sidecar.endpoints[0].next_request()).reply()
                 assert (await client.answer()).status == 200
             sidecar.server.clients.evictable_idle_s = 3600.0  # all have been in use just now
             reload(sidecar, resource_limits=ResourceLimits(2, 400, 1 << 24))
@@ -223,7 +234,7 @@
             sidecar.server.clients.evictable_idle_s = 0.0
             late = await sidecar.client()
             late.send()
-            (await sidecar.endpoints[0].next()).reply()
+            (await sidecar.endpoints[0].next_request()).reply()
             assert (await late.answer()).status == 200
             assert len(sidecar.server.clients) == 2
 
@@ -238,14 +249,14 @@
             asked = []
             for client in clients:
                 client.send()
-                asked.append(await fake.next())
+                asked.append(await fake.next_request())
             asked[0].reply()
             assert (await clients[0].answer()).status == 200
             assert upstream.open_connections == 4
             reload(sidecar, resource_limits=ResourceLimits(500, 2, 1 << 20))
             assert await fake.ends.get() == asked[0].connection  # the idle one
             assert (upstream.open_connections, sidecar.proxy.budget.limit_bytes) == (3, 1 << 20)
-            assert (await clients[0].ask()).status == 503  # no room for one more, and it was sent nowhere
+            assert (await clients[0].request()).status == 503  # no room for one more, and it was sent nowhere
             for one in asked[1:]:
                 one.reply()
             assert [(await client.answer()).status for client in clients[1:]] == [200] * 3
@@ -262,15 +273,17 @@
 
     async def test() -> None:
         async with Sidecar(Discovery=before) as sidecar:
-            asked = await sidecar.discovery.next()
+            asked = await sidecar.discovery.next_request()
             for i in range(3):
                 reload(sidecar, digest=str(i), Discovery=after, Balancers=i + 1)
-            asked.reply(200, listing(2, False))
-            asked = await sidecar.discovery.next()
+            asked.reply(200, endpoint_list(2, False))
+            asked = await sidecar.discovery.next_request()
             assert asked.message.first.startswith("GET /discovery/hosts?after=2&")
             assert (sidecar.discovery.connections, sidecar.discovery.ends.qsize()) == (1, 0)
             asked.reply(503, b"")
-            await sidecar.discovery.next()  # either form asks again, the module's or the watch's own way
+            await (
+                sidecar.discovery.next_request()
+            )  # either form asks again, the module's or the watch's own way
 
     run(test())
 
@@ -283,11 +296,11 @@
             monkeypatch.setattr(
                 sidecar.proxy, "start_timer", lambda delay_us, timer: None
             )  # it never falls due
-            (await sidecar.discovery.next()).reply(503, b"")
+            (await sidecar.discovery.next_request()).reply(503, b"")
             while sidecar.proxy.balancer.discovery.state is PollState.CALLING:
                 await asyncio.sleep(0.001)
             reload(sidecar, Discovery="push")
-            await sidecar.discovery.next()
+            await sidecar.discovery.next_request()
 
     run(test())
 
@@ -325,7 +338,7 @@
             assert sidecar.proxy.watcher.port == before[0].discovery.port
             client = await sidecar.client()
             client.send()
-            (await sidecar.endpoints[0].next()).reply()
+            (await sidecar.endpoints[0].next_request()).reply()
             assert (await client.answer()).status == 200
 
     run(test())
@@ -346,10 +359,10 @@
         (tmp_path / "c").write_text(json.dumps(told, indent=len(document)), encoding="utf-8")
         return load({"GW_CONFIG": str(tmp_path / "c")}).digest
 
-    first = digest(SETUP)
+    first = digest(SETTINGS)
     assert len(first) == 8 and int(first, 16) >= 0
-    assert digest(dict(reversed(SETUP.items())), name="other", limits={"sockets": 300}) == first
-    assert digest({**SETUP, "Balancers": 2}) != first
+    assert digest(dict(reversed(SETTINGS.items())), name="other", limits={"sockets": 300}) == first
+    assert digest({**SETTINGS, "Balancers": 2}) != first
 
 
 # --- the program ---
@@ -359,18 +372,18 @@
     """Replace the program's file; what it will call these settings."""
     path = tmp_path / "config.json"
     document = json.loads(path.read_text(encoding="utf-8"))
-    document["settings"] = {**SETUP, **settings}
+    document["settings"] = {**SETTINGS, **settings}
     path.write_text(json.dumps(document), encoding="utf-8")
     return load({"GW_CONFIG": str(path)}).digest
 
 
-def hang_up(running: Program) -> None:
+def hang_up(running: SidecarProcess) -> None:
     running.process.send_signal(signal.SIGHUP)
 
 
-async def served_once(running: Program, class_name: str) -> int:
+async def served_once(running: SidecarProcess, class_name: str) -> int:
     client = await running.client()
-    status = (await client.ask(class_name)).status
+    status = (await client.request(class_name)).status
     client.writer.close()
     return status
 
@@ -378,19 +391,19 @@
 def test_all_requests_of_a_program_under_load_are_answered_over_twenty_reloads(tmp_path: Path) -> None:
     async def endless(client: Client, statuses: Counter[int], stop: asyncio.Event) -> None:
         while not stop.is_set():
-            statuses[(await client.ask()).status] += 1
+            statuses[(await client.request()).status] += 1
 
-    async def answer(fakes: list[Fake]) -> None:
-        async def one(fake: Fake) -> None:
+    async def answer(fakes: list[FakeServer]) -> None:
+        async def one(fake: FakeServer) -> None:
             while True:
-                (await fake.next()).reply()
+                (await fake.next_request()).reply()
 
         await asyncio.gather(*(one(fake) for fake in fakes))
 
     async def test() -> None:
-        fakes = [await Fake().start() for _ in range(6)]
-        rows = [row(f"e-{i}", fake.address) for i, fake in enumerate(fakes)]
-        async with program(tmp_path, {"known": json.loads(listing(1, True, *rows))}) as running:
+        fakes = [await FakeServer().start() for _ in range(6)]
+        rows = [endpoint_row(f"e-{i}", fake.address) for i, fake in enumerate(fakes)]
+        async with running_program(tmp_path, {"known": json.loads(endpoint_list(1, True, *rows))}) as running:
             serving = asyncio.create_task(answer(fakes))
             stop, statuses = asyncio.Event(), Counter[int]()
             clients = [await running.client() for _ in range(12)]
@@ -415,9 +428,9 @@
 
 def test_of_two_signals_at_once_the_last_file_is_in_force(tmp_path: Path) -> None:
     async def test() -> None:
-        async with program(tmp_path, {}) as running:
+        async with running_program(tmp_path, {}) as running:
             client = await running.client()
-            assert (await client.ask("new")).status == 404
+            assert (await client.request("new")).status == 404
             write(tmp_path, Categories=[LOOK])
             hang_up(running)
             digest = write(tmp_path, Categories=[{**PAY, "Name": "new"}])
@@ -425,17 +438,17 @@
             await running.line_with(f" settings={digest} ")
             client = await running.client()
             client.send("new")
-            (await running.endpoint.next()).reply()
+            (await running.endpoint.next_request()).reply()
             assert (await client.answer()).status == 200
             client = await running.client()
-            assert (await client.ask("look")).status == 404
+            assert (await client.request("look")).status == 404
 
     run(test())
 
 
 def test_a_file_that_is_written_in_part_changes_nothing_and_the_next_signal_takes_it(tmp_path: Path) -> None:
     async def test() -> None:
-        async with program(tmp_path, {}) as running:
+        async with running_program(tmp_path, {}) as running:
             file = tmp_path / "config.json"
             digest = write(tmp_path, Categories=[{**PAY, "Name": "new"}])
             whole = file.read_text(encoding="utf-8")
@@ -444,13 +457,13 @@
             await running.line_with("event=config_rejected key=GW_CONFIG ")
             client = await running.client()
             client.send("pay")
-            (await running.endpoint.next()).reply()
+            (await running.endpoint.next_request()).reply()
             assert (await client.answer()).status == 200
             file.write_text(whole, encoding="utf-8")
             hang_up(running)
             await running.line_with(f"event=config_reloaded changed=True settings={digest} ")
             client.send("new")
-            (await running.endpoint.next()).reply()
+            (await running.endpoint.next_request()).reply()
             assert (await client.answer()).status == 200
 
     run(test())
@@ -460,8 +473,12 @@
     ("change", "key", "reason"),
     [
         ({"name": "n1"}, "name", "n0 can't become n1"),
-        ({"settings": {**SETUP, "Layer": 1, "Tiers": ["a", "b"]}}, '"settings: Layer"', "0 can't become 1"),
-        ({"settings": {**SETUP, "Categories": []}}, "settings", "Categories"),
+        (
+            {"settings": {**SETTINGS, "Layer": 1, "Tiers": ["a", "b"]}},
+            '"settings: Layer"',
+            "0 can't become 1",
+        ),
+        ({"settings": {**SETTINGS, "Categories": []}}, "settings", "Categories"),
         ({"limits": {"sockets": 0}}, "limits.sockets", "impossible value 0"),
     ],
 )
@@ -469,7 +486,7 @@
     tmp_path: Path, change: dict[str, Any], key: str, reason: str
 ) -> None:
     async def test() -> None:
-        async with program(tmp_path, {}) as running:
+        async with running_program(tmp_path, {}) as running:
             file = tmp_path / "config.json"
             document = copy.deepcopy(json.loads(file.read_text(encoding="utf-8")))
             file.write_text(json.dumps({**document, **change}), encoding="utf-8")
@@ -477,7 +494,7 @@
             await running.line_with(f'event=config_rejected key={key} reason="{reason}')
             client = await running.client()
             client.send("pay")
-            (await running.endpoint.next()).reply()
+            (await running.endpoint.next_request()).reply()
             assert (await client.answer()).status == 200
 
     run(test())
@@ -485,13 +502,13 @@
 
 def test_a_reload_while_the_process_drains_leaves_its_requests_and_its_end_alone(tmp_path: Path) -> None:
     async def test() -> None:
-        async with program(tmp_path, {}) as running:
+        async with running_program(tmp_path, {}) as running:
             client, other = await running.client(), await running.client()
             client.send("pay")
-            asked = await running.endpoint.next()
+            asked = await running.endpoint.next_request()
             digest = write(tmp_path, Categories=[{**LOOK, "DeadlineUs": 100_000}])
             running.process.send_signal(signal.SIGTERM)
-            while await ready(other) == 200:
+            while await readiness_status(other) == 200:
                 await asyncio.sleep(0.001)
             hang_up(running)
             await running.line_with(f"event=config_reloaded changed=True settings={digest} ")
--- a/tests/test_non_idempotent_requests.py
+++ b/tests/test_non_idempotent_requests.py
@@ -8,12 +8,20 @@
 import pytest
 
 from corkdoor.sidecar.upstream.connection import Connection
-from tests.sidecar_support import SETUP, Asked, Sidecar, first_asked, one_attempt, row, wait_until
+from tests.sidecar_support import (
+    SETTINGS,
+    ReceivedRequest,
+    Sidecar,
+    endpoint_row,
+    first_request,
+    send_first_attempt,
+    wait_until,
+)
 
-ALLOWED = {**SETUP["Allowed"], "SecondCopies": True, "ConnectTimeoutUs": 100_000}
+ALLOWED = {**SETTINGS["Allowed"], "SecondCopies": True, "ConnectTimeoutUs": 100_000}
 
 
-def send_invalid_answer(received: Asked) -> None:
+def send_invalid_answer(received: ReceivedRequest) -> None:
     received.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n")
 
 
@@ -34,7 +42,7 @@
 @pytest.mark.parametrize("how", MAY_HAVE_RUN)
 async def test_attempt_that_may_have_run_is_not_retried_and_not_answered_503(how: str) -> None:
     async with Sidecar(endpoints=3, Allowed=ALLOWED) as sidecar:
-        received, client = await one_attempt(sidecar)
+        received, client = await send_first_attempt(sidecar)
         MAY_HAVE_RUN[how](received)
         assert (await client.answer()).status == 502
         assert sidecar.nothing_arrived()
@@ -43,9 +51,9 @@
 @pytest.mark.parametrize("how", NEVER_RAN)
 async def test_rejected_attempt_is_retried(how: str) -> None:
     async with Sidecar(endpoints=3, Allowed=ALLOWED) as sidecar:
-        received, client = await one_attempt(sidecar)
+        received, client = await send_first_attempt(sidecar)
         NEVER_RAN[how](received)
-        retry = await first_asked(sidecar)
+        retry = await first_request(sidecar)
         assert retry.message.headers["req-id"] == received.message.headers["req-id"]
         retry.reply()
         assert (await client.answer()).status == 200
@@ -62,7 +70,9 @@
         if how == "refused":
             listener.close()
         async with Sidecar(endpoints=1, Allowed=ALLOWED) as sidecar:
-            sidecar.list_endpoints(row("bad", address), row("s-0", sidecar.endpoints[0].address))
+            sidecar.list_endpoints(
+                endpoint_row("bad", address), endpoint_row("s-0", sidecar.endpoints[0].address)
+            )
             client = await sidecar.client()
             while not sidecar.proxy.counters["attempts_connect_failed"]:  # each draws its endpoint at random
                 await sidecar.serve_one(client)
@@ -74,7 +84,7 @@
     async with Sidecar(endpoints=3, Allowed=ALLOWED) as sidecar:
         client = await sidecar.client()
         client.send(deadline_ms=400)
-        await first_asked(sidecar)
+        await first_request(sidecar)
         assert (await client.answer()).status == 504
         assert sidecar.nothing_arrived()
 
@@ -82,7 +92,7 @@
 async def test_attempt_that_broke_before_its_last_byte_is_retried(monkeypatch: pytest.MonkeyPatch) -> None:
     """The endpoint begins with the last byte; here the kernel takes only a part of the first attempt."""
     async with Sidecar(endpoints=2, Allowed=ALLOWED) as sidecar:
-        await sidecar.discovery.next()  # its connection is of the same kind
+        await sidecar.discovery.next_request()  # its connection is of the same kind
         send = Connection.send
 
         def send_in_part(connection: Connection, data: bytes) -> None:
@@ -99,5 +109,5 @@
         first = next(f for f in sidecar.endpoints if f.address.endswith(f":{port}"))
         await wait_until(lambda: first.writers, 0.001)
         first.writers[0].transport.abort()
-        (await first_asked(sidecar)).reply()
+        (await first_request(sidecar)).reply()
         assert (await client.answer()).status == 200
--- a/tests/test_pipelining.py
+++ b/tests/test_pipelining.py
@@ -23,7 +23,7 @@
 
     async def serve() -> None:
         while True:
-            received = await sidecar.endpoints[0].next()
+            received = await sidecar.endpoints[0].next_request()
             received.reply(200, received.message.headers["req-id"].encode())
 
     task = asyncio.create_task(serve())
@@ -64,7 +64,7 @@
     async with Sidecar() as sidecar:
         client = await sidecar.client()
         send_at_once(client, 300)
-        await sidecar.endpoints[0].next()
+        await sidecar.endpoints[0].next_request()
         connection = await sidecar.connection_of(client)
         await wait_until(lambda: connection.is_reading_paused)
         shortest_request = b"GET /a HTTP/1.1\r\n\r\n"
@@ -73,14 +73,14 @@
         client.writer.close()
         await wait_until(lambda: not sidecar.server.clients)
         assert sidecar.proxy.budget.held_bytes == 0
-        assert sidecar.endpoints[0].asked.empty()
+        assert sidecar.endpoints[0].requests.empty()
 
 
 async def test_what_waits_is_answered_while_the_process_drains() -> None:
     async with Sidecar() as sidecar:
         client = await sidecar.client()
         send_at_once(client, 30)
-        received = await sidecar.endpoints[0].next()
+        received = await sidecar.endpoints[0].next_request()
         sidecar.server.start_draining()
         sidecar.server.start_closing_connections()
         received.reply(200, b"n-0")
@@ -117,7 +117,7 @@
         for number in range(1 + behind):
             client.send("pay", deadline_ms=deadline_ms, body=body, request_id=f"n-{number}")
         for number in range(1 + behind):
-            received = await sidecar.endpoints[0].next()
+            received = await sidecar.endpoints[0].next_request()
             left_ms = deadline_ms - (time.monotonic() - sent_at) * 1000
             assert int(received.message.headers["req-deadline-ms"]) <= left_ms + SLACK_MS
             if number == 0:
@@ -164,5 +164,5 @@
         sidecar.server.start_draining()
         sidecar.server.start_closing_connections()
         client.send(request_id="last", deadline_ms=LONG_MS)
-        (await sidecar.endpoints[0].next()).reply(200, b"x" * 30_000)
+        (await sidecar.endpoints[0].next_request()).reply(200, b"x" * 30_000)
         await wait_until(lambda: not sidecar.server.clients)
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -23,15 +23,15 @@
 from corkdoor.sidecar.proxied_request import ProxiedRequest
 from corkdoor.sidecar.status_report import status_line
 from tests.sidecar_support import (
-    SETUP,
-    Fake,
+    SETTINGS,
+    FakeServer,
     Sidecar,
-    listing,
-    program,
-    ready,
-    row,
+    endpoint_list,
+    endpoint_row,
+    readiness_status,
     run,
-    started,
+    running_program,
+    start_program,
 )
 
 
@@ -54,7 +54,7 @@
 def direct(caller: Answers, class_name: str = "pay") -> ProxiedRequest:
     """A request as the server hands it over; its head only has to end where the deadline's value follows."""
     head = b"POST /pay HTTP/1.1\r\nHost: e\r\nReq-Id: d1\r\nContent-Length: 0\r\n"
-    chosen = next(c for c in read_settings(SETUP).classes if c.name == class_name)
+    chosen = next(c for c in read_settings(SETTINGS).classes if c.name == class_name)
     return ProxiedRequest(caller, chosen, "acme", None, now_us() + 2_000_000, head, b"")
 
 
@@ -66,7 +66,7 @@
         async with Sidecar() as sidecar:
             client = await sidecar.client()
             client.send("hold", deadline_ms=900, body=b"\x00\x01two", request_id="00aa")
-            asked = await sidecar.endpoints[0].next()
+            asked = await sidecar.endpoints[0].next_request()
             assert asked.message.first == "POST /hold/a?b=1 HTTP/1.1"
             assert asked.message.headers["host"] == "service.internal"
             assert asked.message.headers["req-id"] == "00aa"
@@ -89,7 +89,7 @@
             client = await sidecar.client()
             for _ in range(3):
                 client.send()
-                asked = await sidecar.endpoints[0].next()
+                asked = await sidecar.endpoints[0].next_request()
                 asked.reply()
                 assert (await client.answer()).status == 200
             assert sidecar.endpoints[0].connections == 1
@@ -104,7 +104,7 @@
             for i in range(3):
                 client.send(body=b"%d" % i)
             for _ in range(3):
-                asked = await sidecar.endpoints[0].next()
+                asked = await sidecar.endpoints[0].next_request()
                 asked.reply(200, asked.message.body)
             assert [(await client.answer()).body for _ in range(3)] == [b"0", b"1", b"2"]
 
@@ -117,11 +117,11 @@
             client = await sidecar.client()
             client.send(body=b"0")
             client.send(body=b"1")
-            asked = await sidecar.endpoints[0].next()
+            asked = await sidecar.endpoints[0].next_request()
             sidecar.server.start_draining()
             sidecar.server.start_closing_connections()
             asked.reply(200, asked.message.body)
-            asked = await sidecar.endpoints[0].next()
+            asked = await sidecar.endpoints[0].next_request()
             asked.reply(200, asked.message.body)
             assert [(await client.answer()).body for _ in range(2)] == [b"0", b"1"]
             assert await client.reader.read() == b""
@@ -134,7 +134,7 @@
         async with Sidecar() as sidecar:
             client = await sidecar.client()
             client.send("look", Connection="Upgrade", Upgrade="websocket")
-            asked = await sidecar.endpoints[0].next()
+            asked = await sidecar.endpoints[0].next_request()
             assert "upgrade" not in asked.message.headers
             asked.reply()
             answer = await client.answer()
@@ -161,10 +161,10 @@
                 patch.setattr(sidecar.proxy.balancer, event, broken)
                 client.send()
                 if event == "on_attempt_end":
-                    (await sidecar.endpoints[0].next()).reply(500)
+                    (await sidecar.endpoints[0].next_request()).reply(500)
                 assert (await client.answer()).status == 500
             client.send()
-            (await sidecar.endpoints[0].next()).reply()
+            (await sidecar.endpoints[0].next_request()).reply()
             assert (await client.answer()).status == 200
             assert not sidecar.proxy.requests
 
@@ -180,7 +180,7 @@
             monkeypatch.setattr(proxied_request, "MARGIN_SHARE", 1.0)
             monkeypatch.setattr(sidecar.proxy.balancer, "on_request", lambda *_: None)
             begun = time.monotonic()
-            assert (await (await sidecar.client()).ask(deadline_ms=2000)).status == 504
+            assert (await (await sidecar.client()).request(deadline_ms=2000)).status == 504
             assert time.monotonic() - begun < 1.5
 
     run(test())
@@ -192,11 +192,11 @@
 def test_known_list_serves_and_the_watch_goes_on_from_it() -> None:
     async def test() -> None:
         async with Sidecar() as sidecar:
-            assert await ready(await sidecar.client()) == 200
-            asked = await sidecar.discovery.next()
+            assert await readiness_status(await sidecar.client()) == 200
+            asked = await sidecar.discovery.next_request()
             assert asked.message.first.startswith("GET /discovery/hosts?after=1&wait_ms=")
-            asked.reply(200, listing(4, False))
-            again = await sidecar.discovery.next()
+            asked.reply(200, endpoint_list(4, False))
+            again = await sidecar.discovery.next_request()
             assert again.message.first.startswith("GET /discovery/hosts?after=4&")
             assert again.connection == asked.connection
 
@@ -206,12 +206,14 @@
 def test_not_ready_before_any_endpoint_is_known() -> None:
     async def test() -> None:
         async with Sidecar(endpoints=0) as sidecar:
-            fake = await Fake().start()
+            fake = await FakeServer().start()
             client = await sidecar.client()
-            assert await ready(client) == 503
-            (await sidecar.discovery.next()).reply(200, listing(2, True, row("s-9", fake.address)))
-            await sidecar.discovery.next()
-            assert await ready(client) == 200
+            assert await readiness_status(client) == 503
+            (await sidecar.discovery.next_request()).reply(
+                200, endpoint_list(2, True, endpoint_row("s-9", fake.address))
+            )
+            await sidecar.discovery.next_request()
+            assert await readiness_status(client) == 200
 
     run(test())
 
@@ -220,7 +222,7 @@
 def test_failed_watch_keeps_the_list_and_is_asked_again(bad: str) -> None:
     async def test() -> None:
         async with Sidecar() as sidecar:
-            asked = await sidecar.discovery.next()
+            asked = await sidecar.discovery.next_request()
             if bad == "503":
                 asked.reply(503, b"")
             elif bad == "reset":
@@ -228,12 +230,12 @@
             else:
                 asked.reply(200, b'{"instances": [{}]}')
             begun = time.monotonic()
-            again = await sidecar.discovery.next()
+            again = await sidecar.discovery.next_request()
             assert time.monotonic() - begun > 0.2  # no tight loop
             assert again.message.first.startswith("GET /discovery/hosts?after=1&")
             client = await sidecar.client()
             client.send()
-            (await sidecar.endpoints[0].next()).reply()
+            (await sidecar.endpoints[0].next_request()).reply()
             assert (await client.answer()).status == 200
 
     run(test())
@@ -242,9 +244,11 @@
 def test_pushed_lists_are_watched_without_the_module_asking() -> None:
     async def test() -> None:
         async with Sidecar(Discovery="push") as sidecar:
-            (await sidecar.discovery.next()).reply(503, b"")
-            (await sidecar.discovery.next()).reply(200, listing(2, False))
-            assert (await sidecar.discovery.next()).message.first.startswith("GET /discovery/hosts?after=2&")
+            (await sidecar.discovery.next_request()).reply(503, b"")
+            (await sidecar.discovery.next_request()).reply(200, endpoint_list(2, False))
+            assert (await sidecar.discovery.next_request()).message.first.startswith(
+                "GET /discovery/hosts?after=2&"
+            )
 
     run(test())
 
@@ -254,13 +258,17 @@
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
             stays, goes = sidecar.endpoints
-            rows = [row("s-0", stays.address)] if reset else [row("s-1", goes.address, "draining")]
-            (await sidecar.discovery.next()).reply(200, listing(2, reset, *rows))
-            await sidecar.discovery.next()
+            rows = (
+                [endpoint_row("s-0", stays.address)]
+                if reset
+                else [endpoint_row("s-1", goes.address, "draining")]
+            )
+            (await sidecar.discovery.next_request()).reply(200, endpoint_list(2, reset, *rows))
+            await sidecar.discovery.next_request()
             for _ in range(8):
                 client = await sidecar.client()
                 client.send()
-                (await stays.next()).reply()
+                (await stays.next_request()).reply()
                 assert (await client.answer()).status == 200
             assert goes.connections == 0
 
@@ -273,11 +281,11 @@
         async with Sidecar() as sidecar:
             client = await sidecar.client()
             client.send()
-            (await sidecar.endpoints[0].next()).reply()
+            (await sidecar.endpoints[0].next_request()).reply()
             await client.answer()
             begun = time.monotonic()
-            rows = [] if reset else [row("s-0", sidecar.endpoints[0].address, "gone")]
-            (await sidecar.discovery.next()).reply(200, listing(2, reset, *rows))
+            rows = [] if reset else [endpoint_row("s-0", sidecar.endpoints[0].address, "gone")]
+            (await sidecar.discovery.next_request()).reply(200, endpoint_list(2, reset, *rows))
             assert await sidecar.endpoints[0].ends.get() == 0
             assert time.monotonic() - begun < 2.0  # long before it would have been closed as idle
 
@@ -289,22 +297,24 @@
         async with Sidecar() as sidecar:
             caller = Answers()
             sidecar.proxy.accept(direct(caller))
-            listed = read_endpoint_list(json.loads(listing(2, False, row("s-0", "127.0.0.1:1", "draining"))))
+            listed = read_endpoint_list(
+                json.loads(endpoint_list(2, False, endpoint_row("s-0", "127.0.0.1:1", "draining")))
+            )
             sidecar.proxy.on_watch_event(WatchEventKind.DELTA, listed.entries)
             assert await caller.all.get() == 503
-            assert sidecar.endpoints[0].asked.empty()
+            assert sidecar.endpoints[0].requests.empty()
 
     run(test())
 
 
 def test_start_of_an_endpoint_is_told_on_the_monotonic_clock() -> None:
     started_ms = time.time_ns() // 1_000_000 - 2000
-    document = json.loads(listing(1, True, row("s-0", "127.0.0.1:80", started_ms=started_ms)))
+    document = json.loads(endpoint_list(1, True, endpoint_row("s-0", "127.0.0.1:80", started_ms=started_ms)))
     first, second = (read_endpoint_list(document).entries[0].endpoint for _ in range(2))
     assert first.started_us == second.started_us  # a change would look like another restart
     assert abs(now_us() - first.started_us - 2_000_000) < 1_000_000
     assert first.readiness is Readiness.READY
-    long_ago = json.loads(listing(1, True, row("s-0", "127.0.0.1:80")))
+    long_ago = json.loads(endpoint_list(1, True, endpoint_row("s-0", "127.0.0.1:80")))
     assert read_endpoint_list(long_ago).entries[0].endpoint.started_us == 0
 
 
@@ -350,16 +360,16 @@
     ("changes", "reason"),
     [
         ({"settings": {}}, "Categories"),
-        ({"settings": SETUP, "listen": "nowhere"}, "GW_LISTEN"),
-        ({"settings": SETUP, "seed": "xyz"}, "seed"),
-        ({"settings": SETUP, "known": {"instances": 3}}, "known"),
-        ({"settings": SETUP, "limits": {"sockets": 0}}, "limits.sockets"),
+        ({"settings": SETTINGS, "listen": "nowhere"}, "GW_LISTEN"),
+        ({"settings": SETTINGS, "seed": "xyz"}, "seed"),
+        ({"settings": SETTINGS, "known": {"instances": 3}}, "known"),
+        ({"settings": SETTINGS, "limits": {"sockets": 0}}, "limits.sockets"),
     ],
 )
 def test_bad_configuration_ends_with_one_plain_line(
     tmp_path: Path, changes: dict[str, Any], reason: str
 ) -> None:
-    process = started(tmp_path, changes)
+    process = start_program(tmp_path, changes)
     _, said = process.communicate(timeout=20)
     assert process.returncode == 1
     assert len(said.splitlines()) == 1
@@ -370,7 +380,7 @@
     with socket.create_server(("127.0.0.1", 0)) as taken:
         listen = f"127.0.0.1:{taken.getsockname()[1]}"
         test_bad_configuration_ends_with_one_plain_line(
-            tmp_path, {"settings": SETUP, "listen": listen}, "address already in use"
+            tmp_path, {"settings": SETTINGS, "listen": listen}, "address already in use"
         )
 
 
@@ -378,18 +388,18 @@
     """Seen: kept connections were closed at once, while the neighbour was still out for its own restart."""
 
     async def test() -> None:
-        async with program(tmp_path, {}) as running:
+        async with running_program(tmp_path, {}) as running:
             kept, busy = await running.client(), await running.client()
-            assert await ready(kept) == 200
+            assert await readiness_status(kept) == 200
             busy.send(deadline_ms=30_000)
-            asked = await running.endpoint.next()
+            asked = await running.endpoint.next_request()
             running.process.send_signal(signal.SIGTERM)
-            while await ready(kept) == 200:
+            while await readiness_status(kept) == 200:
                 pass
             late = await running.client()
             for client in (kept, late):
                 client.send()
-                (await running.endpoint.next()).reply()
+                (await running.endpoint.next_request()).reply()
                 answer = await client.answer()
                 assert answer.status == 200
                 assert "connection" not in answer.headers
@@ -408,7 +418,7 @@
             client = await sidecar.client()
             for _ in range(2):
                 client.send("pay")
-                (await sidecar.endpoints[0].next()).reply()
+                (await sidecar.endpoints[0].next_request()).reply()
                 assert (await client.answer()).status == 200
             line = status_line(sidecar.proxy, 1, 500)
             assert line.startswith("event=status clients=1 max_clients=500 settings=")
--- a/tests/test_stalled_clients.py
+++ b/tests/test_stalled_clients.py
@@ -9,7 +9,7 @@
 import pytest
 
 from corkdoor.sidecar.clients.timeouts import ClientTimeouts
-from tests.sidecar_support import SETUP, Client, Sidecar
+from tests.sidecar_support import SETTINGS, Client, Sidecar
 
 ALLOWED_S = 3.0  # bad clients get their error or close within so long
 HEAD = b"POST /pay/a HTTP/1.1\r\nHost: a\r\nReq-Id: stalls\r\nReq-Owner: acme\r\nReq-Deadline-Ms: 9000\r\n"
@@ -18,7 +18,7 @@
 
 def classes(**changes: int) -> list[dict[str, Any]]:
     """The request classes of the settings, but for these values."""
-    return [{**request_class, **changes} for request_class in SETUP["Categories"]]
+    return [{**request_class, **changes} for request_class in SETTINGS["Categories"]]
 
 
 LONG_DEADLINES = classes(DeadlineUs=12_000_000)
@@ -36,7 +36,7 @@
     for place in range(0, len(REQUEST), 8):
         client.writer.write(REQUEST[place : place + 8])
         await asyncio.sleep(pause_s)
-    (await sidecar.endpoints[0].next()).reply()
+    (await sidecar.endpoints[0].next_request()).reply()
     assert (await client.answer()).status == 200
 
 
@@ -49,7 +49,7 @@
         client.writer.write(sent)
         assert (await client.answer()).status == 408
         assert time.monotonic() - begun < ALLOWED_S
-        assert sidecar.endpoints[0].asked.empty()
+        assert sidecar.endpoints[0].requests.empty()
 
 
 async def test_client_that_writes_slowly_and_goes_on_is_served() -> None:
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -16,22 +16,22 @@
 import pytest
 
 from tests.sidecar_support import (
-    SETUP,
+    SETTINGS,
     Client,
-    Fake,
-    Program,
+    FakeServer,
+    SidecarProcess,
+    endpoint_list,
+    endpoint_row,
     free_port,
-    listing,
-    program,
-    ready,
-    row,
+    readiness_status,
     run,
+    running_program,
 )
 
 ROOT = Path(__file__).parent.parent
 
 
-async def ready_line(running: Program) -> str:
+async def ready_line(running: SidecarProcess) -> str:
     """The log line on readiness, past whatever comes before it."""
     assert running.process.stderr is not None
     while "event=ready " not in (line := await asyncio.to_thread(running.process.stderr.readline)):
@@ -42,14 +42,14 @@
 def test_the_log_tells_the_time_to_ready_once_a_list_is_known(tmp_path: Path) -> None:
     async def test() -> None:
         begun = time.monotonic()
-        async with program(tmp_path, {}) as running:
+        async with running_program(tmp_path, {}) as running:
             line = await ready_line(running)
             took_s = time.monotonic() - begun
             found = re.search(r"event=ready after_s=(\d+\.\d{3})$", line.strip())
             assert found is not None, line
             # The interpreter alone takes some hundredths; the kernel counts starts in hundredths too.
             assert 0.02 <= float(found[1]) <= took_s + 0.02
-            assert await ready(await running.client()) == 200
+            assert await readiness_status(await running.client()) == 200
 
     run(test())
 
@@ -71,14 +71,14 @@
         except OSError:
             await asyncio.sleep(0.002)
             continue
-        assert await ready(client) == 200
+        assert await readiness_status(client) == 200
         return
     raise AssertionError(f"it ended with {process.returncode}")
 
 
-async def answer_all(endpoint: Fake) -> None:
+async def answer_all(endpoint: FakeServer) -> None:
     while True:
-        (await endpoint.next()).reply()
+        (await endpoint.next_request()).reply()
 
 
 async def status_of_other(address: tuple[str, int]) -> int:
@@ -95,7 +95,7 @@
     replaced_after_s: float, tmp_path: Path
 ) -> None:
     async def test() -> None:
-        endpoint = await Fake().start()
+        endpoint = await FakeServer().start()
         address = ("127.0.0.1", free_port())
         path = tmp_path / "config.json"
         document = {
@@ -103,13 +103,13 @@
             "listen": f"127.0.0.1:{address[1]}",
             "discovery": "127.0.0.1:1",
             "seed": "8c1f",
-            "settings": SETUP,
-            "known": json.loads(listing(1, True, row("s-0", endpoint.address))),
+            "settings": SETTINGS,
+            "known": json.loads(endpoint_list(1, True, endpoint_row("s-0", endpoint.address))),
         }
         path.write_text(json.dumps(document), encoding="utf-8")
         other = {
             **document,
-            "settings": {**SETUP, "Categories": [{**SETUP["Categories"][0], "Name": "other"}]},
+            "settings": {**SETTINGS, "Categories": [{**SETTINGS["Categories"][0], "Name": "other"}]},
         }
         environ = {**os.environ, "GW_CONFIG": str(path)}
         process = subprocess.Popen(["/bin/sh", "-c", run_command()], cwd=ROOT, env=environ)
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -21,13 +21,13 @@
 from corkdoor.sidecar.upstream.manager import PoolLimits, PoolManager
 from corkdoor.sidecar.upstream.response import Response
 from tests.sidecar_support import (
-    SETUP,
+    SETTINGS,
     Sidecar,
-    first_asked,
-    listing,
-    one_attempt,
-    row,
+    endpoint_list,
+    endpoint_row,
+    first_request,
     run,
+    send_first_attempt,
 )
 
 HERE = Location("a", 0)
@@ -44,10 +44,10 @@
 
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
-            asked, client = await one_attempt(sidecar)
+            asked, client = await send_first_attempt(sidecar)
             asked.reply(status, b"")
             assert (await client.answer()).status == 502
-            assert all(fake.asked.empty() for fake in sidecar.endpoints)
+            assert all(fake.requests.empty() for fake in sidecar.endpoints)
 
     run(test())
 
@@ -56,9 +56,9 @@
 def test_what_an_endpoint_turned_away_goes_to_another(status: int) -> None:
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
-            asked, client = await one_attempt(sidecar)
+            asked, client = await send_first_attempt(sidecar)
             asked.reply(status, b"", "Srv-Declined: 1")
-            (await first_asked(sidecar)).reply()
+            (await first_request(sidecar)).reply()
             assert (await client.answer()).status == 200
 
     run(test())
@@ -72,7 +72,7 @@
             for _ in range(8):  # each draws its endpoint at random
                 client = await sidecar.client()
                 client.send()
-                (await sidecar.endpoints[1].next()).reply()
+                (await sidecar.endpoints[1].next_request()).reply()
                 assert (await client.answer()).status == 200
 
     run(test())
@@ -82,14 +82,14 @@
 def test_answer_cut_short_is_a_failure_and_unsafe_is_not_sent_again(cut: str) -> None:
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
-            asked, client = await one_attempt(sidecar)
+            asked, client = await send_first_attempt(sidecar)
             if cut != "nothing":
                 asked.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n")
             if cut == "body":
                 asked.writer.write(b"\r\nhalf")
             asked.writer.close()
             assert (await client.answer()).status == 502
-            assert all(fake.asked.empty() for fake in sidecar.endpoints)
+            assert all(fake.requests.empty() for fake in sidecar.endpoints)
 
     run(test())
 
@@ -104,13 +104,13 @@
             client = await sidecar.client()
             begun = time.monotonic()
             client.send(deadline_ms=2000)
-            asked = await sidecar.endpoints[0].next()
+            asked = await sidecar.endpoints[0].next_request()
             answer = await client.answer()
             assert answer.status == 504
             assert time.monotonic() - begun < 1.5
             asked.reply(200, b"late")
             client.send(deadline_ms=8000)
-            fresh = await sidecar.endpoints[0].next()
+            fresh = await sidecar.endpoints[0].next_request()
             assert fresh.connection != asked.connection
             fresh.reply(200, b"fresh")
             assert (await client.answer()).body == b"fresh"
@@ -198,10 +198,10 @@
 
 def test_idle_connections_close_before_their_endpoint_closes_them() -> None:
     async def test() -> None:
-        async with Sidecar(Allowed={**SETUP["Allowed"], "ConnIdleUs": 300_000}) as sidecar:
+        async with Sidecar(Allowed={**SETTINGS["Allowed"], "ConnIdleUs": 300_000}) as sidecar:
             client = await sidecar.client()
             client.send()
-            (await sidecar.endpoints[0].next()).reply()
+            (await sidecar.endpoints[0].next_request()).reply()
             await client.answer()
             assert await sidecar.endpoints[0].ends.get() == 0
             assert sidecar.proxy.upstream.open_connections == 0
@@ -216,14 +216,16 @@
         async with Sidecar(endpoints=2) as sidecar:
             before, after = sidecar.endpoints
             client = await sidecar.client()
-            sidecar.proxy.on_watch_event(WatchEventKind.FULL, listed(row("s-0", before.address)))
+            sidecar.proxy.on_watch_event(WatchEventKind.FULL, listed(endpoint_row("s-0", before.address)))
             client.send()
-            asked = await before.next()
-            sidecar.proxy.on_watch_event(WatchEventKind.FULL, listed(row("s-0", after.address, started_ms=1)))
+            asked = await before.next_request()
+            sidecar.proxy.on_watch_event(
+                WatchEventKind.FULL, listed(endpoint_row("s-0", after.address, started_ms=1))
+            )
             asked.reply()
             assert (await client.answer()).status == 200
             client.send()
-            asked = await first_asked(sidecar)
+            asked = await first_request(sidecar)
             assert asked.writer in after.writers
             asked.reply()
             assert (await client.answer()).status == 200
@@ -235,11 +237,11 @@
 @pytest.mark.parametrize("port", [0, 65_536])
 def test_a_list_with_an_impossible_port_is_no_list(port: int) -> None:
     with pytest.raises(ValueError, match="hostPort"):
-        listed(row("s-0", f"127.0.0.1:{port}"))
+        listed(endpoint_row("s-0", f"127.0.0.1:{port}"))
 
 
 def listed(*rows: dict[str, Any]) -> list[ResolvedEndpoint]:
-    return read_endpoint_list(json.loads(listing(2, True, *rows))).entries
+    return read_endpoint_list(json.loads(endpoint_list(2, True, *rows))).entries
 
 
 def test_connections_to_endpoints_stay_within_their_bound() -> None:
@@ -249,7 +251,7 @@
             seen: set[int] = set()
             while len(seen) < 2:
                 client.send()
-                asked = await first_asked(sidecar)
+                asked = await first_request(sidecar)
                 asked.reply()
                 await client.answer()
                 seen.add(next(i for i, f in enumerate(sidecar.endpoints) if asked.writer in f.writers))
@@ -294,12 +296,12 @@
     async def test() -> None:
         monkeypatch.setattr(manager, "STALL_US", 100_000)
         async with Sidecar(endpoints=2) as sidecar:
-            asked, client = await one_attempt(sidecar)
+            asked, client = await send_first_attempt(sidecar)
             asked.writer.write(raw)
             answer = await client.answer()
             assert (answer.status, answer.body) == (502, b"")
             assert await asyncio.wait_for(ended(sidecar), 2) == 0
-            assert all(fake.asked.empty() for fake in sidecar.endpoints)
+            assert all(fake.requests.empty() for fake in sidecar.endpoints)
             assert (sidecar.proxy.upstream.open_connections, sidecar.proxy.budget.held_bytes) == (0, 0)
 
     run(test())
@@ -322,11 +324,11 @@
         async with Sidecar() as sidecar:
             client = await sidecar.client()
             client.send()
-            (await sidecar.endpoints[0].next()).writer.write(GOOD + more)
+            (await sidecar.endpoints[0].next_request()).writer.write(GOOD + more)
             answer = await client.answer()
             assert (answer.status, answer.body) == (200, b"good")
             client.send()
-            asked = await sidecar.endpoints[0].next()
+            asked = await sidecar.endpoints[0].next_request()
             assert asked.connection == 1
             asked.reply()
             assert (await client.answer()).body == b"done"
@@ -340,7 +342,7 @@
             client = await sidecar.client()
             client.send()
             report = "srv-load: pending=3,served_ps=140,svc_ms=14.5"
-            (await sidecar.endpoints[0].next()).reply(200, b"good", report)
+            (await sidecar.endpoints[0].next_request()).reply(200, b"good", report)
             assert (await client.answer()).status == 200
             assert sidecar.proxy.balancer.rules.service_times.newer.total == 1
 
@@ -352,7 +354,7 @@
         async with Sidecar() as sidecar:
             client = await sidecar.client()
             client.send()
-            asked = await sidecar.endpoints[0].next()
+            asked = await sidecar.endpoints[0].next_request()
             asked.writer.write(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n")
             asked.reply(200, b"good", "Srv-Load: =,;inflight=nan")
             answer = await client.answer()
--- a/tests/test_watching.py
+++ b/tests/test_watching.py
@@ -27,7 +27,7 @@
 from corkdoor.sidecar.config import Address
 from corkdoor.sidecar.discovery import client as discovery_client
 from corkdoor.sidecar.transport.connector import connect
-from tests.sidecar_support import Sidecar, listing, read_message, row, run
+from tests.sidecar_support import Sidecar, endpoint_list, endpoint_row, read_message, run
 from tests.support import Host, S, settings
 
 
@@ -50,12 +50,12 @@
                 "too much": b"HTTP/1.1 200 X\r\nContent-Length: 99999999\r\n\r\n",
             }[how]
             begun = time.monotonic()
-            (await sidecar.discovery.next()).writer.write(spoilt)
-            (await sidecar.discovery.next()).writer.write(spoilt)  # and once more
-            left = listing(2, False, row("s-1", sidecar.endpoints[1].address, "draining"))
-            (await sidecar.discovery.next()).reply(200, left)
+            (await sidecar.discovery.next_request()).writer.write(spoilt)
+            (await sidecar.discovery.next_request()).writer.write(spoilt)  # and once more
+            left = endpoint_list(2, False, endpoint_row("s-1", sidecar.endpoints[1].address, "draining"))
+            (await sidecar.discovery.next_request()).reply(200, left)
             assert time.monotonic() - begun < MAX_INTERVAL_US / 2e6  # the shortest wait by the schedule
-            await sidecar.discovery.next()
+            await sidecar.discovery.next_request()
             assert list(sidecar.proxy.upstream.pools) == ["s-0"]
 
     run(test())
@@ -82,9 +82,9 @@
         monkeypatch.setattr(discovery_client, "connect", hanging)
         async with Sidecar() as sidecar:
             sidecar.proxy.balancer.discovery.backoff.interval_us = 60_000_000  # as after a long outage
-            await sidecar.discovery.next()  # silent
+            await sidecar.discovery.next_request()  # silent
             begun = time.monotonic()
-            (await sidecar.discovery.next()).reply(200, listing(2, False))
+            (await sidecar.discovery.next_request()).reply(200, endpoint_list(2, False))
             assert dials == 3
             assert time.monotonic() - begun < 1.0
 
@@ -124,7 +124,7 @@
         writer.close()
 
     def _reply(self, writer: asyncio.StreamWriter) -> None:
-        body = listing(2, True)
+        body = endpoint_list(2, True)
         whole = b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
         if self.back_s:
             self.told.append(time.monotonic() - self.back_s)
@@ -151,7 +151,7 @@
         async with Sidecar(Discovery=form) as sidecar:
             address = Address("127.0.0.1", outage.port)
             if moves:
-                await sidecar.discovery.next()
+                await sidecar.discovery.next_request()
                 sidecar.proxy.reload(replace(sidecar.config, discovery=address))
             else:
                 watcher = sidecar.proxy.watcher
