--- a/corkdoor/sidecar/clients/connection.py
+++ b/corkdoor/sidecar/clients/connection.py
@@ -42,16 +42,16 @@
         "_bodies",
         "_client_state",
         "_input_arrived_us",
-        "_input_read_us",
         "_keep_alive",
         "_output_state",
         "_parser",
         "_read_flow",
         "_server",
-        "_transport",
         "current_request",
+        "input_read_us",
         "phase_started_us",
         "request_id",
+        "transport",
     )
 
     def __init__(self, server: Server) -> None:
@@ -63,7 +63,7 @@
         self._keep_alive = True  # whether the client keeps the connection after the current request
         self._client_state = NEW
         self._output_state = FLOWING
-        self._input_read_us = now  # when input was last read
+        self.input_read_us = now  # when input was last read
         self._input_arrived_us = now  # when that, or what is being parsed, may have come
         self._bodies = BodyReservation(server.budget)
         self._backlog = Backlog()
@@ -73,7 +73,7 @@
 
     def connection_made(self, transport: StreamTransport) -> None:
         """Take the place of another connection, if there are too many."""
-        self._transport = transport
+        self.transport = transport
         self._read_flow = ReadFlow(transport)
         self._server.clients.add(self)
 
@@ -81,15 +81,15 @@
         """Parse input, and serve the next request if none is being served."""
         if self._parser.has_ended:
             return
-        self._input_read_us = now_us()
-        self._input_arrived_us = self._read_flow.arrived_us(len(data), self._input_read_us)
+        self.input_read_us = now_us()
+        self._input_arrived_us = self._read_flow.arrived_us(len(data), self.input_read_us)
         self._backlog.add_input(data)
         self._parse()
         self._serve_next()
 
     def eof_received(self) -> bool:
-        """Take the client for gone at once: `connection_lost` comes only when all responses are read."""
-        self._drop_requests()
+        """Count the client as departed at once: `connection_lost` comes only when all responses are read."""
+        self.drop_requests()
         return False
 
     def pause_writing(self) -> None:
@@ -105,7 +105,7 @@
 
     def connection_lost(self, _error: Exception | None) -> None:
         """The connection has ended."""
-        self._drop_requests()
+        self.drop_requests()
         self._parser.close()
         self._server.clients.remove(self)
         self._bodies.release_all()
@@ -142,29 +142,26 @@
         """Whether nothing that still comes is read."""
         return self._parser.has_ended
 
+    @property
+    def has_backlog(self) -> bool:
+        """Whether anything that was read waits behind the request that is being served."""
+        return bool(self._backlog)
+
     @property
     def waiting_requests(self) -> int:
         """How many complete requests wait behind the one that is being served."""
         return len(self._backlog.requests)
 
-    def buffered_bytes(self) -> int:
-        """How many bytes of responses the kernel has not taken yet."""
-        return self._transport.buffered_bytes()
-
-    def peer_port(self) -> int | None:
-        """The client's port; None where the connection has ended."""
-        return self._transport.peer_port()
-
     def has_unread_input(self) -> bool:
         """Whether input waits in the kernel: closing now would cross a request, and that would fail."""
-        return self._transport.has_input()
+        return self.transport.has_input()
 
     def departed(self) -> bool:
         """Whether the kernel has the client's close, half-close or reset, whatever is unread before it.
 
         The loop learns of it later: behind other events, and not at all while reading is paused.
         """
-        return self._transport.peer_closed()
+        return self.transport.peer_closed()
 
     def label(self) -> str:
         """The request's name in the log."""
@@ -237,7 +234,7 @@
         headers = [(b"Retry-After", RETRY_AFTER_S)] if unavailable else []
         self.answer(error.status, headers, f"{error.reason}\n".encode())
 
-    def _drop_requests(self) -> None:
+    def drop_requests(self) -> None:
         """The client has left: whatever it could still read, nothing more is forwarded for it."""
         if not self._parser.has_ended:
             self.phase_started_us = now_us()
@@ -266,7 +263,7 @@
             self._bodies.release_served()
         # Waiting requests were accepted too, so they are served even while the server closes connections.
         keep_alive = self._keep_alive and (has_backlog or not self._server.closes_connections())
-        self._transport.write(encode_response(status, headers, body, keep_alive))
+        self.transport.write(encode_response(status, headers, body, keep_alive))
         if not keep_alive:
             self._finish()
         elif has_backlog:
@@ -293,15 +290,14 @@
         self._end_input()
         self._bodies.release_all()
         self.phase_started_us = now_us()  # timeouts count from here: the response needs time to be sent
-        if self._transport.is_closing():
+        if self.transport.is_closing():
             return
         if is_input_unexpected:
-            self._transport.write_eof()
+            self.transport.write_eof()
             self._read_flow.resume()
-        elif (
-            self.has_unread_input()
-        ):  # a next request crosses the close: unread, the client sends it elsewhere
-            self._transport.write_eof()
+        elif self.has_unread_input():
+            # A next request crosses the close: it stays unread, so that the client sends it elsewhere.
+            self.transport.write_eof()
             self._read_flow.pause()
         else:
             self.close(CloseReason.AFTER_RESPONSE)
@@ -315,9 +311,9 @@
             reason: is counted.
             abort: whether to drop responses that the kernel has not taken.
         """
-        if self._transport.is_closing():
+        if self.transport.is_closing():
             if abort:
-                self._transport.abort()
+                self.transport.abort()
             return
         proxy = self._server.proxy
         if self.current_request is not None:
@@ -326,54 +322,14 @@
             return
         proxy.counters[reason.counter] += 1
         if abort:
-            self._transport.abort()
+            self.transport.abort()
         else:
-            self._transport.close()
+            self.transport.close()
 
     def evict(self) -> None:
         """Close it at once, to make room for another client."""
         self._parser.end()
         self.close(CloseReason.EVICTED, abort=True)
 
-    def check_timeouts(self, now: int) -> None:
-        """Close it where the client has left, or takes too long; `now` in microseconds."""
-        timeouts = self._server.timeouts
-        if self.is_reading_paused and not self.has_input_ended and self.departed():
-            # While reading is paused the loop is told of no end, and the backlog would be served for nobody.
-            self._drop_requests()
-            self.close(CloseReason.CLIENT_LEFT)
-        phase_s = (now - self.phase_started_us) / 1e6
-        if self.is_output_blocked and self.current_request is None and phase_s > timeouts.idle_s:
-            self.close(CloseReason.RESPONSES_UNREAD, abort=True)
-        elif self.current_request is not None or self._backlog:
-            return
-        elif self.has_input_ended:
-            if phase_s > timeouts.linger_s:
-                self.close(CloseReason.AFTER_LAST_INPUT, abort=True)
-        elif self.is_receiving:
-            if self._is_request_too_slow(now, phase_s):
-                self.reject_input(HTTPError(HTTPStatus.REQUEST_TIMEOUT, "the request did not come whole"))
-        elif phase_s > (timeouts.first_request_s if self.is_new else timeouts.idle_s):
-            if not self.has_unread_input():
-                self.close(CloseReason.NO_REQUEST if self.is_new else CloseReason.IDLE, abort=True)
-
-    def _is_request_too_slow(self, now: int, phase_s: float) -> bool:
-        """Whether the request that is coming in takes too long.
-
-        An established client may write slowly, but no longer than any response would be waited for: a
-        request's deadline counts from its last byte.
-        """
-        timeouts = self._server.timeouts
-        if self.is_new:
-            return phase_s > timeouts.first_request_s
-        silent_s = (now - self._input_read_us) / 1e6
-        is_stalled = (
-            silent_s > timeouts.stalled_request_s
-            and not self.is_reading_paused
-            and not self.has_unread_input()
-        )
-        longest_s = max(timeouts.first_request_s, self._server.admission.longest_deadline_s)
-        return is_stalled or phase_s > longest_s
-
     def _set_output_state(self, state: OutputState) -> None:
         self._output_state = OUTPUT_TRANSITIONS.check(self._output_state, state)
--- a/corkdoor/sidecar/clients/request_parser.py
+++ b/corkdoor/sidecar/clients/request_parser.py
@@ -19,7 +19,9 @@
 HEAD_TOO_LONG = "the headers are too long"
 HTTP_VERSIONS = ("1.0", "1.1")
 IDLE, HEAD, BODY, ENDED, TRUNCATED, CLOSED = InputState  # bound once: members are slow to look up
-RECEIVING = (HEAD, BODY, TRUNCATED)
+IN_HEAD = frozenset((IDLE, HEAD))
+RECEIVING = frozenset((HEAD, BODY, TRUNCATED))
+FINAL = frozenset((ENDED, TRUNCATED, CLOSED))
 
 
 class RequestSink(Protocol):
@@ -77,7 +79,7 @@
     @property
     def has_ended(self) -> bool:
         """Whether nothing more is read."""
-        return self.state >= ENDED
+        return self.state in FINAL
 
     def feed(self, data: memoryview, arrived_us: int) -> None:
         """Parse the next input, which came at `arrived_us`.
@@ -89,7 +91,7 @@
         if parser is None:
             return
         self._arrived_us = arrived_us
-        was_in_head = self.state <= HEAD
+        was_in_head = self.state in IN_HEAD
         upgrade_requested = False
         try:
             parser.feed_data(data)
@@ -173,7 +175,7 @@
 
     def _count_unfinished_head(self, size: int, was_in_head: bool) -> None:
         """Guards against a line without end: httptools reports nothing of it before its end."""
-        in_head = was_in_head and self.state <= HEAD
+        in_head = was_in_head and self.state in IN_HEAD
         self._unfinished_head_bytes = self._unfinished_head_bytes + size if in_head else 0
         if self._unfinished_head_bytes > MAX_HEAD_BYTES + PARSE_CHUNK_BYTES:
             raise HTTPError(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, HEAD_TOO_LONG)
--- a/corkdoor/sidecar/clients/server.py
+++ b/corkdoor/sidecar/clients/server.py
@@ -12,7 +12,6 @@
 from corkdoor.sidecar.clients.connection import ClientConnection
 from corkdoor.sidecar.clients.errors import HTTPError
 from corkdoor.sidecar.clients.registry import ClientRegistry
-from corkdoor.sidecar.clients.states import SERVER_TRANSITIONS, ServerState
 from corkdoor.sidecar.clients.timeouts import ClientTimeouts
 from corkdoor.sidecar.clock import now_us
 from corkdoor.sidecar.config import Config
@@ -22,7 +21,6 @@
 
 LISTEN_BACKLOG = 1024
 READINESS_PATH = b"/up"
-SERVING, DRAINING, CLOSING, CLOSED = ServerState  # bound once: members are slow to look up
 
 
 class Server:
@@ -40,7 +38,6 @@
         self.timeouts = timeouts or ClientTimeouts()
         self.clients = ClientRegistry(max_clients, self.timeouts.evictable_idle_s)
         self.admission = RequestAdmission(proxy.settings)
-        self._state = SERVING
 
     def bind(self, host: str, port: int) -> None:
         """Listen; connections wait in the kernel until the listener starts."""
@@ -66,7 +63,7 @@
             await asyncio.sleep(self.timeouts.check_interval_s)
             now = now_us()
             for client in self.clients:
-                client.check_timeouts(now)
+                self.timeouts.check(client, self.admission.longest_deadline_s, now)
 
     # Admission.
 
@@ -85,22 +82,14 @@
     def _answer_readiness(self, client: ClientConnection, incoming: IncomingRequest) -> None:
         if incoming.method != b"GET":
             raise HTTPError(HTTPStatus.METHOD_NOT_ALLOWED, "GET only")
-        is_ready = self.proxy.ready and self._state is SERVING
+        is_ready = self.proxy.ready and self.proxy.lifecycle.wants_clients
         client.answer(HTTPStatus.OK if is_ready else HTTPStatus.SERVICE_UNAVAILABLE, [], b"")
 
     def closes_connections(self) -> bool:
         """Whether connections close after their next response."""
-        return self._state >= CLOSING or self.clients.is_over_limit()
+        return self.proxy.lifecycle.closing or self.clients.is_over_limit()
 
-    # Graceful shutdown, step by step.
-
-    def start_draining(self) -> None:
-        """Be no longer ready: the platform sends new clients elsewhere; those that come are served."""
-        self._set_state(DRAINING)
-
-    def start_closing_connections(self) -> None:
-        """Close each connection after its next response."""
-        self._set_state(CLOSING)
+    # Graceful shutdown.
 
     def stop_accepting(self) -> bool:
         """Stop listening once no connection waits to be accepted, for it would be reset.
@@ -108,10 +97,9 @@
         Returns:
             Whether the server has stopped listening.
         """
-        if self._state is not CLOSED and not self.listener.has_waiting():
-            self._set_state(CLOSED)
+        if self.listener.is_open and not self.listener.has_waiting():
             self.listener.close()
-        return self._state is CLOSED
+        return not self.listener.is_open
 
     def reject_incomplete_requests(self) -> None:
         """Answer requests of which a part has come: the process ends before the rest."""
@@ -124,6 +112,3 @@
         for client in self.clients:
             if not client.is_busy and not client.has_input_ended and not client.has_unread_input():
                 client.close(CloseReason.SHUTDOWN)
-
-    def _set_state(self, state: ServerState) -> None:
-        self._state = SERVER_TRANSITIONS.check(self._state, state)
--- a/corkdoor/sidecar/clients/states.py
+++ b/corkdoor/sidecar/clients/states.py
@@ -1,55 +1,46 @@
-"""The states of a client's connection and of the server, and which may follow which.
+"""The states of a client's connection, and which may follow which.
 
-A connection has three states at a time, since they change independently: of its input, of its output, and of
+It has three states at a time, since they change independently: of its input, of its output, and of
 what is known of the client. Whether reading is paused is a fourth, kept by `read_flow`.
 """
 
 from __future__ import annotations
 
-from enum import IntEnum
+from enum import auto
 
-from corkdoor.state_machine import TransitionTable
+from corkdoor.state_machine import ObjectState, TransitionTable
 
 
-class InputState(IntEnum):
+class InputState(ObjectState):
     """Where in the stream of requests the parser is."""
 
-    IDLE = 1  # between requests
-    HEAD = 2
-    BODY = 3  # trailers included
-    ENDED = 4  # nothing more is read; the last request was complete
-    TRUNCATED = 5  # nothing more is read, in the middle of a request
-    CLOSED = 6  # the connection has ended
+    IDLE = auto()  # between requests
+    HEAD = auto()
+    BODY = auto()  # trailers included
+    ENDED = auto()  # nothing more is read; the last request was complete
+    TRUNCATED = auto()  # nothing more is read, in the middle of a request
+    CLOSED = auto()  # the connection has ended
 
 
-class OutputState(IntEnum):
+class OutputState(ObjectState):
     """Whether the client reads its responses."""
 
-    FLOWING = 1
-    BLOCKED = 2  # too much is buffered: no further request is served
+    FLOWING = auto()
+    BLOCKED = auto()  # too much is buffered: no further request is served
 
 
-class ClientState(IntEnum):
+class ClientState(ObjectState):
     """What the client has shown of itself; limits on time and eviction depend on it."""
 
-    NEW = 1  # it has made no valid request
-    ESTABLISHED = 2
+    NEW = auto()  # it has made no valid request
+    ESTABLISHED = auto()
 
 
-class ReadState(IntEnum):
+class ReadState(ObjectState):
     """Whether the connection is read."""
 
-    READING = 1
-    PAUSED = 2
-
-
-class ServerState(IntEnum):
-    """The phases of a graceful shutdown."""
-
-    SERVING = 1
-    DRAINING = 2  # not ready for new clients; those that are connected are served
-    CLOSING = 3  # connections close after their next response
-    CLOSED = 4  # no connection is accepted
+    READING = auto()
+    PAUSED = auto()
 
 
 INPUT_TRANSITIONS = TransitionTable(
@@ -84,12 +75,3 @@
         ReadState.PAUSED: frozenset((ReadState.READING,)),
     },
 )
-SERVER_TRANSITIONS = TransitionTable(
-    "server",
-    {
-        ServerState.SERVING: frozenset((ServerState.DRAINING,)),
-        ServerState.DRAINING: frozenset((ServerState.CLOSING,)),
-        ServerState.CLOSING: frozenset((ServerState.CLOSED,)),
-        ServerState.CLOSED: frozenset(),
-    },
-)
--- a/corkdoor/sidecar/graceful_shutdown.py
+++ b/corkdoor/sidecar/graceful_shutdown.py
@@ -55,10 +55,8 @@
     timeouts = timeouts or ShutdownTimeouts()
     longest_deadline_s = server.admission.longest_deadline_s
     begun_us = now_us()
-    server.start_draining()
     proxy.lifecycle.enter(ProcessState.DRAINING)
     await asyncio.sleep(timeouts.serving_s(longest_deadline_s))
-    server.start_closing_connections()
     proxy.lifecycle.enter(ProcessState.CLOSING)
     log.info(LogEvent("shutdown_closing", clients=len(server.clients), requests=len(proxy.requests)))
     await _until_empty(server, begun_us + int(timeouts.answering_s(longest_deadline_s) * 1e6))
--- a/corkdoor/sidecar/transport/acceptor.py
+++ b/corkdoor/sidecar/transport/acceptor.py
@@ -50,18 +50,23 @@
         """The port that it listens on."""
         return int(self._socket.getsockname()[1])
 
+    @property
+    def is_open(self) -> bool:
+        """Whether it listens."""
+        return self._state is ListenerState.OPEN
+
     def start(self) -> None:
         """Take connections from here on; those that came before have waited."""
-        if self._state is ListenerState.OPEN:
+        if self.is_open:
             self._start_watching()
 
     def has_waiting(self) -> bool:
         """Whether a connection waits to be taken."""
-        return self._state is ListenerState.OPEN and self._poller.has(INPUT, otherwise=True)
+        return self.is_open and self._poller.has(INPUT, otherwise=True)
 
     def close(self) -> None:
         """Listen no more; connections that wait are reset by the kernel."""
-        if self._state is ListenerState.CLOSED:
+        if not self.is_open:
             return
         self._state = LISTENER_TRANSITIONS.check(self._state, ListenerState.CLOSED)
         self._stop_watching()
@@ -78,7 +83,7 @@
 
     def _on_connections(self) -> None:
         for _ in range(MAX_ACCEPTS):
-            if self._state is ListenerState.CLOSED:
+            if not self.is_open:
                 return
             try:
                 connected, _ = self._socket.accept()
--- a/corkdoor/sidecar/transport/states.py
+++ b/corkdoor/sidecar/transport/states.py
@@ -2,55 +2,55 @@
 
 from __future__ import annotations
 
-from enum import IntEnum
+from enum import auto
 
-from corkdoor.state_machine import TransitionTable
+from corkdoor.state_machine import ObjectState, TransitionTable
 
 
-class TransportState(IntEnum):
+class TransportState(ObjectState):
     """The life of one connection."""
 
-    OPEN = 1
-    CLOSING = 2  # closed by the protocol: the connection ends once all output is sent
-    CLOSED = 3  # the descriptor has been given back
+    OPEN = auto()
+    CLOSING = auto()  # closed by the protocol: the connection ends once all output is sent
+    CLOSED = auto()  # the descriptor has been given back
 
 
-class ReceiveState(IntEnum):
+class ReceiveState(ObjectState):
     """What happens to input."""
 
-    READING = 1
-    PAUSED = 2  # input stays in the kernel
-    ENDED = 3  # the peer has ended its output, or the connection ends
+    READING = auto()
+    PAUSED = auto()  # input stays in the kernel
+    ENDED = auto()  # the peer has ended its output, or the connection ends
 
 
-class SendState(IntEnum):
+class SendState(ObjectState):
     """What happens to output."""
 
-    OPEN = 1
-    ENDING = 2  # nothing more is accepted; what is buffered is still sent
-    ENDED = 3
+    OPEN = auto()
+    ENDING = auto()  # nothing more is accepted; what is buffered is still sent
+    ENDED = auto()
 
 
-class WriterState(IntEnum):
+class WriterState(ObjectState):
     """Whether the protocol may write: it is told to stop while too much output is buffered."""
 
-    WRITABLE = 1
-    PAUSED = 2
+    WRITABLE = auto()
+    PAUSED = auto()
 
 
-class WatchState(IntEnum):
+class WatchState(ObjectState):
     """What a watch on a descriptor's readiness is doing."""
 
-    OFF = 1
-    WATCHING = 2
-    RETRYING = 3  # a system call failed for want of memory: a timer runs until the next try
+    OFF = auto()
+    WATCHING = auto()
+    RETRYING = auto()  # a system call failed for want of memory: a timer runs until the next try
 
 
-class ListenerState(IntEnum):
+class ListenerState(ObjectState):
     """The life of a listening socket."""
 
-    OPEN = 1
-    CLOSED = 2
+    OPEN = auto()
+    CLOSED = auto()
 
 
 TRANSPORT_TRANSITIONS = TransitionTable(
--- a/emulator/breakdown.py
+++ b/emulator/breakdown.py
@@ -26,6 +26,7 @@
 from corkdoor.sidecar.attempt_sender import AttemptSender
 from corkdoor.sidecar.clients.connection import ClientConnection
 from corkdoor.sidecar.clients.server import Server
+from corkdoor.sidecar.clients.timeouts import ClientTimeouts
 from corkdoor.sidecar.discovery.client import DiscoveryClient
 from corkdoor.sidecar.request_registry import RequestRegistry
 from corkdoor.sidecar.upstream.connection import Connection
@@ -51,7 +52,7 @@
     ("write to caller", ClientConnection, "answer"),
     ("alarm set", clock.Alarm, "_arm"),
     ("alarm cancelled", clock.Alarm, "cancel"),
-    ("chore: check callers", ClientConnection, "check_timeouts"),
+    ("chore: check callers", ClientTimeouts, "check"),
     ("chore: report", process, "status_line"),
     ("list taken", proxy.Proxy, "on_watch_event"),
     ("watch", DiscoveryClient, "on_response"),
--- a/tests/sidecar_support.py
+++ b/tests/sidecar_support.py
@@ -23,6 +23,7 @@
 from corkdoor.sidecar.clients.timeouts import ClientTimeouts
 from corkdoor.sidecar.config import Address, Config
 from corkdoor.sidecar.discovery.endpoint_list import read_endpoint_list
+from corkdoor.sidecar.lifecycle import ProcessState
 from corkdoor.sidecar.proxy import Proxy
 from corkdoor.sidecar.resource_limits import ResourceLimits
 
@@ -278,6 +279,11 @@
         """Deliver a complete list of all fake endpoints."""
         self.list_endpoints(*(endpoint_row(f"s-{i}", fake.address) for i, fake in enumerate(self.endpoints)))
 
+    def start_closing_connections(self) -> None:
+        """Enter the phase of the shutdown in which each connection closes after its next response."""
+        self.proxy.lifecycle.enter(ProcessState.DRAINING)
+        self.proxy.lifecycle.enter(ProcessState.CLOSING)
+
     def merge_arrivals(self) -> asyncio.Queue[ReceivedRequest]:
         """The requests that all endpoints get from here on, in one queue."""
         queue: asyncio.Queue[ReceivedRequest] = asyncio.Queue()
@@ -317,7 +323,7 @@
         port = client.writer.get_extra_info("sockname")[1]
         while True:
             for connection in self.server.clients:
-                if connection.peer_port() == port:
+                if connection.transport.peer_port() == port:
                     return connection
             await asyncio.sleep(0.001)
 
--- a/tests/test_pipelining.py
+++ b/tests/test_pipelining.py
@@ -81,8 +81,7 @@
         client = await sidecar.client()
         send_at_once(client, 30)
         received = await sidecar.endpoints[0].next_request()
-        sidecar.server.start_draining()
-        sidecar.server.start_closing_connections()
+        sidecar.start_closing_connections()
         received.reply(200, b"n-0")
         async with serving(sidecar):
             await check_answered_in_order(client, 30)
@@ -159,10 +158,9 @@
         client = await sidecar.client()
         client.writer.transport.pause_reading()  # type: ignore[attr-defined]
         connection = await sidecar.connection_of(client)
-        while not connection.buffered_bytes():
+        while not connection.transport.buffered_bytes():
             await sidecar.leave_response_unread(client, 30_000)
-        sidecar.server.start_draining()
-        sidecar.server.start_closing_connections()
+        sidecar.start_closing_connections()
         client.send(request_id="last", deadline_ms=LONG_MS)
         (await sidecar.endpoints[0].next_request()).reply(200, b"x" * 30_000)
         await wait_until(lambda: not sidecar.server.clients)
