--- a/corkdoor/balancer.py
+++ b/corkdoor/balancer.py
@@ -312,7 +312,7 @@
 
     def _retry_or_reject(self, now_us: int, request: Request, outcome: Outcome) -> None:
         request.enter(RequestState.BETWEEN_ATTEMPTS)
-        if self.rules.retries.allows(now_us, request, outcome):
+        if self.rules.retries.take_retry(now_us, request, outcome):
             route = self.rules.router.find_retry_route(now_us, request)
             if route is not None:
                 self._send(now_us, request, route)
--- a/corkdoor/policy/concurrency_limit.py
+++ b/corkdoor/policy/concurrency_limit.py
@@ -39,7 +39,7 @@
     """The concurrency limit of one pool.
 
     Attributes:
-        limit: the limit with all endpoints of the pool in use.
+        max_in_flight: the limit with all endpoints of the pool in use.
         min_limit: it does not fall below this.
         available_share: the share of the pool's capacity that is in use now; the limit counts in proportion.
         fair_share: endpoints that are this instance's share of the pool.
@@ -52,7 +52,7 @@
     """
 
     def __init__(self, layer: int) -> None:
-        self.limit = 0.0
+        self.max_in_flight = 0.0
         self.min_limit = MIN_LIMIT
         self.available_share = 1.0
         self.fair_share = 0.0
@@ -78,11 +78,11 @@
         Guards against the limit of many endpoints that falls on the few that are left.
         """
         if fair_share:
-            self.limit *= fair_share / (self.fair_share or fair_share)
+            self.max_in_flight *= fair_share / (self.fair_share or fair_share)
             self.fair_share = fair_share
         self.min_limit = max(MIN_LIMIT, MIN_PER_ENDPOINT * fair_share)
         self._easy_growth_limit = EASY_GROWTH_STARTS * START_PER_ENDPOINT * fair_share
-        self.limit = max(self.limit or START_PER_ENDPOINT * fair_share, self.min_limit)
+        self.max_in_flight = max(self.max_in_flight or START_PER_ENDPOINT * fair_share, self.min_limit)
 
     def reset_latencies(self, now_us: int, rise: float) -> None:
         """Forget latencies, whose objectives have changed; as shares they may rise by the factor `rise`."""
@@ -95,7 +95,7 @@
         Args:
             shortage: the share of recent requests that found no capacity.
         """
-        limit = self.available_share * self.limit
+        limit = self.available_share * self.max_in_flight
         return limit + self._burst_roots * self.headroom * (1.0 - shortage) * math.sqrt(limit)
 
     def is_full(self, now_us: int, capacity: float, rng: random.Random) -> bool:
@@ -114,7 +114,7 @@
         if sent_us < self.changed_us:
             return
         self.round.add(latency_share)
-        limit = self.available_share * self.limit
+        limit = self.available_share * self.max_in_flight
         self._bound_outcomes += self.in_flight >= BINDING_SHARE * limit
         if self.round.total < ROUND_SAMPLES + ROUND_SAMPLES_PER_REQUEST * limit:
             return
@@ -127,16 +127,16 @@
         target = self._target()
         self.headroom = min(1.0, max(0.0, TARGET_RATIO * (1.0 - median / target)))
         if median > target:
-            self.limit = max(self.min_limit, self.limit * max(MAX_REDUCTION, target / median))
+            self.max_in_flight = max(self.min_limit, self.max_in_flight * max(MAX_REDUCTION, target / median))
             self.changed_us = now_us
         elif self._may_grow():
             min_growth = MIN_GROWTH_WITH_REPORTS if self.endpoints_report_load else MIN_GROWTH
-            self.limit += max(min_growth, GROWTH_SHARE * self.limit)
+            self.max_in_flight += max(min_growth, GROWTH_SHARE * self.max_in_flight)
         self.round, self._bound_outcomes = LatencyHistogram(), 0
 
     def _update_unloaded_median(self) -> None:
         # Guards against overload that is learned as the unloaded state, round by round.
-        overloaded = self._bound_outcomes and self.limit > self._easy_growth_limit
+        overloaded = self._bound_outcomes and self.max_in_flight > self._easy_growth_limit
         drift = 1.0 if overloaded else UNLOADED_DRIFT
         # Guards against a start amid overload, which would be taken for the unloaded state.
         highest = self.unloaded_median * drift if self.unloaded_median else self._max_unloaded
@@ -152,5 +152,5 @@
 
     def _may_grow(self) -> bool:
         """Return whether this round shows what the endpoints bear at the limit itself."""
-        bound_share = MIN_BOUND_SHARE if self.limit > self._easy_growth_limit else 0.0
+        bound_share = MIN_BOUND_SHARE if self.max_in_flight > self._easy_growth_limit else 0.0
         return self.available_share == 1.0 and self._bound_outcomes > bound_share * self.round.total
--- a/corkdoor/policy/outlier_ejection.py
+++ b/corkdoor/policy/outlier_ejection.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 import random
+from enum import Enum
 
 from corkdoor.interface import Actions
 from corkdoor.model import Outcome
@@ -16,9 +17,7 @@
 FAILURE_RATE_WEIGHT = 0.3  # weight of the newest outcome in an endpoint's failure rate
 TOTAL_FAILURE_RATE_WEIGHT = 0.02  # and in the failure rate of all endpoints
 EJECTION_FAILURE_RATE = 0.45  # two failures in a row pass it
-EJECTION_TOTAL_SHARE = (
-    0.5  # added to it: this share of the failure rate of all, so a shared fault ejects none
-)
+EJECTION_TOTAL_SHARE = 0.5  # and this share of the failure rate of all is added: shared faults eject none
 LEAVING_REJECTIONS = 3  # rejections in a row after which an endpoint is leaving rather than busy
 MAX_EJECTED_SHARE = 0.5  # of the ready endpoints
 EJECTION_US = 3_000_000  # the first ejection; each that follows closely doubles it
@@ -30,6 +29,13 @@
 RECOVERY_INITIAL_SHARE = 0.15
 
 
+class EjectionReason(Enum):
+    """Why an endpoint was ejected."""
+
+    FAILING = "failing"
+    REJECTS_ATTEMPTS = "rejects_attempts"
+
+
 def recovery_share(now_us: int, ejected_until_us: int) -> float:
     """Return the share of its requests that an endpoint may have during its ejection and after."""
     since_us = now_us - ejected_until_us
@@ -63,7 +69,7 @@
         if outcome is Outcome.REJECTED:
             endpoint.consecutive_rejections += 1
             if is_leaving(endpoint) and not endpoint.in_flight:
-                self._eject(now_us, endpoint, "rejects_attempts")
+                self._eject(now_us, endpoint, EjectionReason.REJECTS_ATTEMPTS)
             return
         endpoint.consecutive_rejections = 0
         failed = 0.0 if outcome is Outcome.OK else 1.0
@@ -74,13 +80,11 @@
             endpoint.failure_rate += FAILURE_RATE_WEIGHT * (failed - endpoint.failure_rate)
         if failed:
             endpoint.last_failure_us = now_us
-            if (
-                endpoint.failure_rate
-                >= EJECTION_FAILURE_RATE + EJECTION_TOTAL_SHARE * self._total_failure_rate
-            ):
-                self._eject(now_us, endpoint, "failing")
+            threshold = EJECTION_FAILURE_RATE + EJECTION_TOTAL_SHARE * self._total_failure_rate
+            if endpoint.failure_rate >= threshold:
+                self._eject(now_us, endpoint, EjectionReason.FAILING)
 
-    def _eject(self, now_us: int, endpoint: EndpointState, reason: str) -> None:
+    def _eject(self, now_us: int, endpoint: EndpointState, reason: EjectionReason) -> None:
         if _is_ejected(now_us, endpoint) or not self._may_eject_another(now_us, endpoint):
             return
         self.ejected.append(endpoint)
@@ -91,7 +95,7 @@
         endpoint.ejected_until_us = now_us + duration_us
         endpoint.failure_rate = 0.0
         self._actions.log_event(
-            "endpoint_ejected", endpoint=endpoint.id, duration_s=duration_us / 1e6, reason=reason
+            "endpoint_ejected", endpoint=endpoint.id, duration_s=duration_us / 1e6, reason=reason.value
         )
 
     def _may_eject_another(self, now_us: int, endpoint: EndpointState) -> bool:
--- a/corkdoor/policy/placements.py
+++ b/corkdoor/policy/placements.py
@@ -83,7 +83,7 @@
         remote_share = max(fair_share - local_share, MIN_REMOTE_SHARE * fair_share)
         for pool, share in ((self.local, local_share), (self.remote, remote_share)):
             pool.limit.resize(share)
-            size = subset_size(pool.limit.limit, share, pool.limit.in_flight)
+            size = subset_size(pool.limit.max_in_flight, share, pool.limit.in_flight)
             pool.subset.fill(pool.endpoints, settings.instance_index, settings.instance_count, size)
 
 
--- a/corkdoor/policy/retries.py
+++ b/corkdoor/policy/retries.py
@@ -48,8 +48,8 @@
         own_limit = MAX_ATTEMPTS_INNER if settings.layer else MAX_ATTEMPTS_OUTERMOST
         self._max_attempts = min(own_limit, settings.limits.max_attempts)
 
-    def allows(self, now_us: int, request: Request, outcome: Outcome) -> bool:
-        """Return whether the request may be retried after this outcome; that may take from the budget."""
+    def take_retry(self, now_us: int, request: Request, outcome: Outcome) -> bool:
+        """Return whether the request may be retried after this outcome, and take it from the budget if so."""
         unsafe = request.request_class.idempotency is Idempotency.NOT_IDEMPOTENT
         if request.first_run is not None and unsafe:
             return False
--- a/corkdoor/policy/token_buckets.py
+++ b/corkdoor/policy/token_buckets.py
@@ -29,7 +29,7 @@
         quota_per_s: requests a second that it is granted at this instance.
         refill_ru_per_s: what is refilled, in RU a second.
         tokens_ru: what is left; below 0 after requests that took long.
-        last_request_us: when its newest request arrived.
+        last_request_us: when its newest request arrived; None: there was none.
     """
 
     __slots__ = ("last_request_us", "quota_per_s", "refill_ru_per_s", "tokens_ru", "weight")
@@ -39,7 +39,11 @@
         self.quota_per_s = quota_per_s
         self.refill_ru_per_s = quota_per_s * BASE_COST_RU * (1 + REFILL_HEADROOM)
         self.tokens_ru = self.depth_ru()
-        self.last_request_us = -ACTIVE_US
+        self.last_request_us: int | None = None
+
+    def is_active(self, now_us: int) -> bool:
+        """Return whether the tenant has a share in the refill."""
+        return self.last_request_us is not None and now_us - self.last_request_us < ACTIVE_US
 
     def depth_ru(self) -> float:
         """Return the most that the bucket holds, in RU."""
@@ -106,7 +110,7 @@
 
     def _set_refill_rates(self, now_us: int) -> None:
         buckets = self.by_tenant.values()
-        active_weight = sum(b.weight for b in buckets if now_us - b.last_request_us < ACTIVE_US)
+        active_weight = sum(bucket.weight for bucket in buckets if bucket.is_active(now_us))
         for bucket in buckets:
             share = self._served_ru_per_s * bucket.weight / active_weight if active_weight else 0.0
             # Quotas are stated in requests: priced at the mean cost, slow answers don't shrink them.
--- a/corkdoor/status.py
+++ b/corkdoor/status.py
@@ -42,7 +42,7 @@
 ) -> Iterator[tuple[str, object]]:
     limit, members = pool.limit, pool.subset.members
     yield f"{prefix}_in_flight", limit.in_flight
-    yield f"{prefix}_limit", f"{limit.available_share * limit.limit:.1f}"
+    yield f"{prefix}_limit", f"{limit.available_share * limit.max_in_flight:.1f}"
     yield f"{prefix}_subset", len(members)
     yield f"{prefix}_median", f"{limit.median:.2f}"
     yield f"{prefix}_unloaded_median", f"{limit.unloaded_median:.2f}"
--- a/tests/test_crowding.py
+++ b/tests/test_crowding.py
@@ -101,7 +101,7 @@
     async def test() -> None:
         async with Sidecar(endpoints=4) as sidecar:
             queue = arrivals(sidecar)
-            cap = sidecar.proxy.balancer.placements[0].local.limit.limit
+            cap = sidecar.proxy.balancer.placements[0].local.limit.max_in_flight
             await fail_until_ejected(sidecar, queue, 2)
             assert cap / 3 < await reached(sidecar, queue, 40) < 2 * cap / 3
 
@@ -121,10 +121,10 @@
                 await serve(queue, clock, clients[:1], 100_000)
             uncrowded = limit.unloaded_median
             for _ in range(150):  # bursts up to the cap: ten at once take the least time, more take longer
-                calls = int(limit.limit)
+                calls = int(limit.max_in_flight)
                 await serve(queue, clock, clients[:calls], 100_000 * max(calls, 10) // 10)
                 assert 0 < limit.unloaded_median < 1.3 * uncrowded
-                assert limit.limit < 20
+                assert limit.max_in_flight < 20
 
     run(test())
 
@@ -139,10 +139,10 @@
             limit = sidecar.proxy.balancer.placements[0].local.limit
             await fail_until_ejected(sidecar, queue, 2, clock)
             clients = [await sidecar.client() for _ in range(40)]
-            cap = limit.limit
+            cap = limit.max_in_flight
             for _ in range(8):  # for less time than they are out
                 await serve(queue, clock, clients[: int(cap / 2)], 100_000)
                 assert limit.available_share == 0.5
-                assert limit.limit <= cap
+                assert limit.max_in_flight <= cap
 
     run(test())
--- a/tests/test_event_order.py
+++ b/tests/test_event_order.py
@@ -79,7 +79,7 @@
 
     @classmethod
     def of(cls, placement: Placement) -> PlacementBefore:
-        limits = [pool.limit.limit for pool in placement.pools]
+        limits = [pool.limit.max_in_flight for pool in placement.pools]
         return cls(placement, limits, [pool.limit.fair_share for pool in placement.pools])
 
     def check(self, placement: Placement) -> None:
@@ -88,7 +88,7 @@
         for pool, limit, fair_share in zip(placement.pools, self.limits, self.fair_shares, strict=True):
             if fair_share and limit:
                 scaled = limit * pool.limit.fair_share / fair_share
-                assert pool.limit.limit == pytest.approx(max(scaled, pool.limit.min_limit))
+                assert pool.limit.max_in_flight == pytest.approx(max(scaled, pool.limit.min_limit))
 
 
 class EventStory:
--- a/tests/test_outlier_ejection.py
+++ b/tests/test_outlier_ejection.py
@@ -22,7 +22,7 @@
 def test_endpoint_that_rejects_gets_few_requests_and_does_not_reduce_the_limit() -> None:
     host = RecordingHost(settings(instance_count=1), endpoints(4))
     limit = host.balancer.placements[0].local.limit
-    initial_limit = limit.limit
+    initial_limit = limit.max_in_flight
     leaving = endpoints(1)[0].id
     for _ in range(200):
         request_id = host.submit("pay")
@@ -34,7 +34,7 @@
             host.end_attempt(request_id, Outcome.OK)
         host.advance(10 * MS)
     assert host.sent_to()[-150:].count(leaving) < 10
-    assert limit.limit >= initial_limit
+    assert limit.max_in_flight >= initial_limit
 
 
 def test_shared_fault_leaves_most_endpoints_in_use() -> None:
--- a/tests/test_reconfigure.py
+++ b/tests/test_reconfigure.py
@@ -119,13 +119,13 @@
 
     serve(100)
     limit = host.balancer.placements[0].local.limit
-    limit_before = limit.limit
+    limit_before = limit.max_in_flight
     assert limit.median
     assert limit.unloaded_median
     objective_us = int(SAFE.latency_objective_us * factor)
     reconfigure(host, classes=(replace(SAFE, latency_objective_us=objective_us),), instance_count=1)
     serve(100)
-    assert limit.limit >= limit_before
+    assert limit.max_in_flight >= limit_before
     assert host.balancer.rules.ratio.stress() == 0
     assert limit.unloaded_median == pytest.approx(limit.median, rel=0.2)
 
@@ -136,10 +136,10 @@
 def test_limits_go_with_the_fair_share_of_the_endpoints() -> None:
     host = RecordingHost(entries=endpoints(8))
     limit = host.balancer.placements[0].local.limit
-    limit.limit, limit.in_flight, limit.median, limit.unloaded_median = 60.0, 3, 0.2, 0.1
+    limit.max_in_flight, limit.in_flight, limit.median, limit.unloaded_median = 60.0, 3, 0.2, 0.1
     reconfigure(host, instance_count=8)
     assert host.balancer.placements[0].local.limit is limit
-    assert (limit.limit, limit.in_flight, limit.median, limit.unloaded_median) == (30.0, 3, 0.2, 0.1)
+    assert (limit.max_in_flight, limit.in_flight, limit.median, limit.unloaded_median) == (30.0, 3, 0.2, 0.1)
 
 
 def learned_state(balancer: Balancer) -> list[object]:
@@ -281,7 +281,7 @@
         host.balancer.start(host.now_us)
     host.balancer.on_watch_event(host.now_us, WatchEventKind.CACHED, endpoints(2))
     placement = host.balancer.rules.placements.by_class["look"]
-    assert placement.local.limit.limit == START_PER_ENDPOINT * 2 / 4
+    assert placement.local.limit.max_in_flight == START_PER_ENDPOINT * 2 / 4
     assert host.sent_to(host.submit())
 
 
