--- a/corkdoor/balancer.py
+++ b/corkdoor/balancer.py
@@ -18,7 +18,7 @@
 from corkdoor.policy.endpoint_pool import EndpointPool
 from corkdoor.policy.endpoint_state import EndpointState
 from corkdoor.policy.errors import DuplicateRequestError, FixedSettingError, NotStartedError
-from corkdoor.policy.placements import Placement
+from corkdoor.policy.placement import Placement
 from corkdoor.policy.rejections import RejectionReason
 from corkdoor.policy.request import Attempt, Request
 from corkdoor.policy.request_state import RequestState
--- a/corkdoor/policy/endpoint_table.py
+++ b/corkdoor/policy/endpoint_table.py
@@ -7,7 +7,7 @@
 from corkdoor.model import Endpoint, WatchEventKind
 from corkdoor.policy.departed_endpoints import DepartedEndpoints
 from corkdoor.policy.endpoint_state import EndpointState, OrderedEndpoints
-from corkdoor.policy.placements import PlacementTable
+from corkdoor.policy.placement_table import PlacementTable
 from corkdoor.settings import Settings
 
 
@@ -76,7 +76,7 @@
             return
         self.ready_count += 1
         for placement in self._placements.all():
-            if placement.allows(endpoint):
+            if placement.constraint.allows(endpoint):
                 placement.pool_of(endpoint, self._settings.zone).add(endpoint)
 
     def _remove_from_pools(self, endpoint: EndpointState) -> None:
@@ -84,7 +84,7 @@
             return
         self.ready_count -= 1
         for placement in self._placements.all():
-            if placement.allows(endpoint):
+            if placement.constraint.allows(endpoint):
                 placement.pool_of(endpoint, self._settings.zone).remove(endpoint)
 
     def forget_unused(self, endpoint: EndpointState) -> None:
--- /dev/null
+++ b/corkdoor/policy/placement_table.py
@@ -0,0 +1,72 @@
+"""The placement table: the placements of all classes, and how they share endpoints.
+
+Classes with the same constraint share a placement. Where a constrained class fills its few endpoints, the
+placements that are wider leave those endpoints to it in part.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping, Sequence
+
+from corkdoor.policy.placement import NarrowerPlacement, Placement, PlacementConstraint
+from corkdoor.policy.request import Request
+from corkdoor.settings import Settings
+
+WORK_DECAY = 0.95  # of the work sent, kept from one refill window to the next: a memory of ten seconds
+MIN_SHARE_LEFT = 0.1  # share of an even load that wider placements keep at endpoints of narrower ones
+
+
+class PlacementTable:
+    """The placements of all classes, and of requests that arrived under earlier settings."""
+
+    def __init__(self, settings: Settings, requests: Mapping[str, Request]) -> None:
+        self._requests = requests
+        self.by_class: dict[str, Placement] = {}
+        self.configure(settings)
+
+    def configure(self, settings: Settings) -> None:
+        """Take the classes of the settings; placements with the same constraint are kept."""
+        known = {placement.constraint: placement for placement in self.all()}
+        self.by_class = {}
+        for request_class in settings.classes:
+            constraint = PlacementConstraint.of(request_class)
+            if constraint not in known:
+                known[constraint] = Placement(constraint, settings.layer)
+            self.by_class[request_class.name] = known[constraint]
+
+    def all(self) -> list[Placement]:
+        """Return all placements, each once."""
+        of_requests = (request.placement for request in self._requests.values())
+        return list(dict.fromkeys([*self.by_class.values(), *of_requests]))
+
+    def resize_pools(self, settings: Settings) -> None:
+        """Set the limits and subsets of all pools."""
+        for placement in self.all():
+            placement.resize_pools(settings)
+
+    def end_window(self) -> None:
+        """End a refill window: update the send rates, and what wider placements leave to narrower ones.
+
+        Guards against classes without a constraint that fill the few endpoints of a constrained class.
+        """
+        placements = self.all()
+        for placement in placements:
+            for pool in placement.pools:
+                pool.end_window()
+        _update_narrower(placements)
+        for placement in placements:
+            placement.recent_work_ru *= WORK_DECAY
+
+
+def _update_narrower(placements: Sequence[Placement]) -> None:
+    """Set for each placement what it leaves to those with fewer endpoints, by the work sent lately."""
+    total_work_ru = sum(p.recent_work_ru for p in placements)
+    even_work_ru = total_work_ru / max(1, *(p.endpoint_count for p in placements))  # for each endpoint
+    for wider in placements:
+        wider.narrower = []
+        if not even_work_ru:
+            continue
+        for narrower in placements:
+            if 0 < narrower.endpoint_count < wider.endpoint_count:
+                load = narrower.recent_work_ru / narrower.endpoint_count / even_work_ru
+                wider.narrower.append(NarrowerPlacement(narrower, max(MIN_SHARE_LEFT, 1.0 - load)))
--- a/corkdoor/policy/request.py
+++ b/corkdoor/policy/request.py
@@ -3,19 +3,16 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import TYPE_CHECKING
 
 from corkdoor.model import Outcome
 from corkdoor.policy.endpoint_pool import EndpointPool
 from corkdoor.policy.endpoint_state import EndpointState
+from corkdoor.policy.placement import Placement
 from corkdoor.policy.request_state import REQUEST_TRANSITIONS, RequestState
 from corkdoor.policy.retry_safety import NEVER_RAN, FirstRun
 from corkdoor.policy.token_buckets import TenantBucket
 from corkdoor.settings import RequestClass
 
-if TYPE_CHECKING:
-    from corkdoor.policy.placements import Placement
-
 MAX_ANSWER_MARGIN_US = 60_000  # a queued request is answered so long before its client gives up
 ANSWER_MARGIN_SHARE = 0.15  # but at most this share of its timeout
 
--- a/corkdoor/policy/rules.py
+++ b/corkdoor/policy/rules.py
@@ -19,7 +19,7 @@
 from corkdoor.policy.outlier_ejection import OutlierEjection
 from corkdoor.policy.overload import OverloadDetector
 from corkdoor.policy.peer_latency import PeerLatency
-from corkdoor.policy.placements import PlacementTable
+from corkdoor.policy.placement_table import PlacementTable
 from corkdoor.policy.priorities import Priorities
 from corkdoor.policy.rejections import Rejections
 from corkdoor.policy.request import Request
--- a/tests/test_event_order.py
+++ b/tests/test_event_order.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from corkdoor.model import DiscoveryMode, Idempotency, Outcome, Readiness, WatchEventKind
-from corkdoor.policy.placements import Placement
+from corkdoor.policy.placement import Placement, PlacementConstraint
 from corkdoor.policy.request_state import REQUEST_TRANSITIONS
 from corkdoor.policy.retry_safety import NEVER_RAN
 from corkdoor.settings import Limits, RequestClass, Settings, Tenant
@@ -186,8 +186,8 @@
         rules = self.host.balancer.rules
         tokens_ru = {name: bucket.tokens_ru for name, bucket in rules.buckets.by_tenant.items()}
         before = {
-            (p.allowed_zones, p.allowed_machine_types): PlacementBefore.of(p)
-            for p in rules.placements.by_class.values()
+            placement.constraint: PlacementBefore.of(placement)
+            for placement in rules.placements.by_class.values()
         }
         self.host.balancer.reconfigure(self.host.now_us, chosen)
         for tenant in chosen.tenants:
@@ -197,9 +197,8 @@
             assert bucket.depth_ru() > 0
             assert bucket.tokens_ru <= bucket.depth_ru()
         for placement in rules.placements.by_class.values():
-            key = (placement.allowed_zones, placement.allowed_machine_types)
-            if key in before:
-                before[key].check(placement)
+            if placement.constraint in before:
+                before[placement.constraint].check(placement)
         self.check_actions()
 
     def finish(self) -> None:
@@ -221,8 +220,7 @@
         assert not balancer.queue.count
         assert not any(endpoint.in_flight for endpoint in balancer.endpoints.values())
         assert not any(pool.limit.in_flight for p in balancer.placements for pool in p.pools)
-        classes = balancer.classes.values()
-        constraints = {(c.allowed_zones, c.allowed_machine_types) for c in classes}
+        constraints = {PlacementConstraint.of(c) for c in balancer.classes.values()}
         assert len(balancer.placements) == len(constraints)
 
 
