--- a/corkdoor/balancer.py
+++ b/corkdoor/balancer.py
@@ -28,7 +28,7 @@
 from corkdoor.settings import Settings
 
 QUEUE_SWEEP_US = 20_000  # how often the queue and the pending hedges are looked at
-FAILED_CALLS = frozenset((WatchEventKind.FAILED, WatchEventKind.REJECTED, WatchEventKind.LOST))
+FAILED_POLLS = frozenset((WatchEventKind.FAILED, WatchEventKind.REJECTED, WatchEventKind.LOST))
 
 
 class Balancer:
@@ -47,7 +47,7 @@
         rules: all rules.
         queue: the requests that wait for capacity.
         endpoints: the endpoints that are listed, or that have attempts in flight, by id.
-        discovery: the calls to discovery.
+        discovery: the polls of discovery.
     """
 
     def __init__(self, settings: Settings, seed: int, actions: Actions) -> None:
@@ -99,8 +99,8 @@
     # --- discovery ---
 
     def on_watch_event(self, now_us: int, kind: WatchEventKind, endpoints: Sequence[Endpoint]) -> None:
-        """Discovery, or a call to it, brought something."""
-        if kind in FAILED_CALLS:
+        """Discovery brought an endpoint list or changes of it, or a poll failed."""
+        if kind in FAILED_POLLS:
             self.discovery.on_failure(now_us, kind)
             return
         if kind is not WatchEventKind.CACHED:
--- a/corkdoor/policy/admission.py
+++ b/corkdoor/policy/admission.py
@@ -45,10 +45,10 @@
         self.configure(settings)
 
     def configure(self, settings: Settings) -> None:
-        """Take the classes of the settings; what is known of the timeouts of those that stay is kept."""
+        """Take the classes of the settings; what was learned of the timeouts of those that stay is kept."""
         self._outermost = settings.layer == 0
-        known = self.usual_timeouts
-        self.usual_timeouts = {c.name: known.get(c.name) or UsualTimeout() for c in settings.classes}
+        previous = self.usual_timeouts
+        self.usual_timeouts = {c.name: previous.get(c.name) or UsualTimeout() for c in settings.classes}
 
     def assess(self, request: Request, cost_hint_us: int | None) -> float:
         """Set a request's cost, quota state and priority; return its cost under the present stress, in RU."""
@@ -101,7 +101,7 @@
     def may_skip_queue(self, request: Request) -> bool:
         """Return whether the request may be sent before those that are queued.
 
-        Low priorities may: they are not queued behind others, and have a smaller part of the capacity.
+        Low priorities may: they are not queued behind others, and may use a smaller share of the capacity.
         """
         return not self._queue.count or self._priorities.is_low(request.priority)
 
--- a/corkdoor/policy/client_timeouts.py
+++ b/corkdoor/policy/client_timeouts.py
@@ -1,4 +1,4 @@
-"""Client timeouts: how long ago a client first sent a request, told by the time that it still waits.
+"""Client timeouts: how long ago a client first sent a request, by the time that it still waits.
 
 A client that retries keeps the deadline of its first try, so its retries arrive with less time than the usual
 timeout of their class, which is learned from what most requests arrive with.
--- a/corkdoor/policy/endpoint_table.py
+++ b/corkdoor/policy/endpoint_table.py
@@ -53,7 +53,8 @@
         self._placements.resize_pools(self._settings)
 
     def _remove_unlisted(self, listed_ids: set[str]) -> None:
-        for endpoint in [known for known in self.by_id.values() if known.id not in listed_ids]:
+        unlisted = [endpoint for endpoint in self.by_id.values() if endpoint.id not in listed_ids]
+        for endpoint in unlisted:
             self._remove_from_pools(endpoint)
             endpoint.ready = False
             self.forget_unused(endpoint)
--- a/corkdoor/policy/idle_connections.py
+++ b/corkdoor/policy/idle_connections.py
@@ -15,7 +15,7 @@
 from corkdoor.policy.retry_safety import NEVER_RAN, UNANSWERED
 from corkdoor.settings import Settings
 
-MIN_IDLE_US = 500_000  # idle times are told apart by doublings from here
+MIN_IDLE_US = 500_000  # the resolution of idle times: steps double from here
 FRESH = 5  # the step of new connections; those below are idle times, the shortest first
 UNANSWERED_WEIGHT = 0.1  # weight of the newest attempt in the unanswered share of its step
 MAX_EXCESS = 0.15  # by which idle connections may be unanswered more often than others
--- a/corkdoor/policy/latency_histogram.py
+++ b/corkdoor/policy/latency_histogram.py
@@ -5,7 +5,7 @@
 import math
 
 BUCKETS_PER_DOUBLING = 4  # a bucket is 19% wide
-MIN_SHARE = 1 / 1024  # the shortest latency told apart, as a share of the latency objective
+MIN_SHARE = 1 / 1024  # the shortest latency distinguished, as a share of the latency objective
 BUCKET_COUNT = 64  # the longest is 64 times the objective
 
 
--- a/corkdoor/policy/overload.py
+++ b/corkdoor/policy/overload.py
@@ -54,7 +54,7 @@
         usual = self._service_times.usual
         if not usual:
             return
-        if unloaded_median:  # Guards against a reported mean of a fault gone by: this attempt was faster.
+        if unloaded_median:  # Guards against a reported mean that lags behind: this attempt was faster.
             latency_share = elapsed_us / request.objective_us
             service_share = min(service_share, max(usual, usual + latency_share - unloaded_median))
         in_service = max(1.0, report.requests_per_s * report.service_time_us / 1e6)
--- a/corkdoor/policy/placement_table.py
+++ b/corkdoor/policy/placement_table.py
@@ -1,7 +1,7 @@
 """The placement table: the placements of all classes, and how they share endpoints.
 
 Classes with the same constraint share a placement. Where a constrained class fills its few endpoints, the
-placements that are wider leave those endpoints to it in part.
+placements that are wider leave most of those endpoints to it.
 """
 
 from __future__ import annotations
@@ -26,13 +26,13 @@
 
     def configure(self, settings: Settings) -> None:
         """Take the classes of the settings; placements with the same constraint are kept."""
-        known = {placement.constraint: placement for placement in self.all()}
+        by_constraint = {placement.constraint: placement for placement in self.all()}
         self.by_class = {}
         for request_class in settings.classes:
             constraint = PlacementConstraint.of(request_class)
-            if constraint not in known:
-                known[constraint] = Placement(constraint, settings.layer)
-            self.by_class[request_class.name] = known[constraint]
+            if constraint not in by_constraint:
+                by_constraint[constraint] = Placement(constraint, settings.layer)
+            self.by_class[request_class.name] = by_constraint[constraint]
 
     def all(self) -> list[Placement]:
         """Return all placements, each once."""
--- a/corkdoor/policy/priorities.py
+++ b/corkdoor/policy/priorities.py
@@ -16,8 +16,8 @@
 
     Attributes:
         weights: the value of each priority, relative to the best class; the highest first.
-        objective_weights: what an answer is worth to the objective of the deployment, by priority, where
-            the objective may count each class alike.
+        objective_weights: the value of an answer to the objective of the deployment, by priority; that
+            objective may count each class alike.
     """
 
     def __init__(self, settings: Settings) -> None:
--- a/corkdoor/policy/request.py
+++ b/corkdoor/policy/request.py
@@ -44,7 +44,7 @@
         placement: the endpoints that it may use.
         bucket: the budget of its tenant.
         arrived_us: when it arrived.
-        answer_by_us: until when an answer is worth something.
+        answer_by_us: until when an answer has any value.
         answer_margin_us: an answer out of the queue is given so long before that.
         state: where it stands.
         attempts: all attempts, by number.
--- a/corkdoor/policy/token_buckets.py
+++ b/corkdoor/policy/token_buckets.py
@@ -25,7 +25,7 @@
     """The budget of one tenant.
 
     Attributes:
-        weight: the tenant's part of what is divided among the tenants.
+        weight: the tenant's weight in what is divided among the tenants.
         quota_per_s: requests a second that it is granted at this instance.
         refill_ru_per_s: what is refilled, in RU a second.
         tokens_ru: what is left; below 0 after requests that took long.
--- a/corkdoor/policy/zone_spillover.py
+++ b/corkdoor/policy/zone_spillover.py
@@ -1,7 +1,7 @@
 """Zone spill-over: when a request may go to another zone because its own zone is full.
 
-A crossing costs a part of what an answer is worth. The higher that part, the longer a request waits for
-capacity in its own zone first; where it is worth no more than its cost, the request never crosses.
+A crossing costs a share of an answer's value. The higher that share, the longer a request waits for capacity
+in its own zone first; a request that saves no more than the cost never crosses.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
         self._cost = settings.costs.cross_zone
 
     def allows(self, now_us: int, request: Request) -> bool:
-        """Return whether the request is worth the crossing and has waited long enough."""
+        """Return whether the crossing saves more than it costs and the request has waited long enough."""
         saved = self._priorities.objective_weights[request.priority] * SAVED_SHARE
         if saved <= self._cost:
             return False
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -60,3 +60,8 @@
             request_id = host.submit(timeout_us=timeout_us)
             host.answer_all(elapsed_us=300 * MS)
         assert bool(host.sent_to(request_id)) is (timeout_us == 500 * MS)
+
+
+def test_request_of_a_tenant_that_the_settings_do_not_name_is_served() -> None:
+    host = RecordingHost(entries=endpoints(4))
+    assert host.sent_to(host.submit(tenant="stranger"))
--- a/tests/test_endpoint_list_costs.py
+++ b/tests/test_endpoint_list_costs.py
@@ -102,7 +102,7 @@
     ("limit", "fair_share", "in_flight", "size"),
     [
         (0.2, 0.03, 0, 5),  # never fewer, so that an instance with little traffic has evidence
-        (7.0, 1.0, 0, 14),  # twice the limit, as long as that is not wide
+        (7.0, 1.0, 0, 14),  # twice the limit, as long as that is below the wide subset
         (35.0, 5.0, 1, 64),
         (560.0, 80.0, 1, 160),  # all endpoints stay covered, by two instances each
         (560.0, 80.0, 100, 400),  # an instance with much traffic spreads wider
--- a/tests/test_outlier_ejection.py
+++ b/tests/test_outlier_ejection.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from corkdoor.model import Outcome
+from corkdoor.model import Outcome, WatchEventKind
 from corkdoor.policy.endpoint_state import EndpointState
 from corkdoor.policy.outlier_ejection import EJECTION_US
 from tests.support import MS, RecordingHost, S, endpoints, serve_while_down, settings
@@ -72,3 +72,12 @@
     outlier = next(iter(host.balancer.endpoints.values()))
     serve_while_down(host, {outlier.id}, 1500, 20 * MS)
     assert outlier.ejection_count > 1
+
+
+def test_new_process_under_a_previous_id_is_not_ejected() -> None:
+    host = RecordingHost(settings(instance_count=1), endpoints(4))
+    outlier = endpoints(4)[0]
+    host.balancer.endpoints[outlier.id].ejected_until_us = host.now_us + 9 * S
+    restarted = outlier._replace(started_us=host.now_us)
+    host.balancer.on_watch_event(host.now_us, WatchEventKind.DELTA, [restarted])
+    assert host.balancer.endpoints[outlier.id].ejected_until_us is None
--- a/tests/test_placements.py
+++ b/tests/test_placements.py
@@ -1,4 +1,4 @@
-"""Placements: requests go only to endpoints that their class allows, and classes leave each other room."""
+"""Placements: requests go only to endpoints that their class allows, and wide classes spare narrow ones."""
 
 from __future__ import annotations
 
--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -2,15 +2,17 @@
 
 from __future__ import annotations
 
+from dataclasses import replace
+
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
 
 from corkdoor.model import Outcome
-from corkdoor.policy.errors import DuplicateRequestError
+from corkdoor.policy.errors import DuplicateRequestError, NotStartedError
 from corkdoor.policy.request_state import REQUEST_TRANSITIONS, RequestState
-from corkdoor.settings import Limits
-from tests.support import MS, RecordingHost, S, endpoints, settings
+from corkdoor.settings import Limits, Settings
+from tests.support import MS, SAFE, RecordingHost, S, endpoints, settings
 
 CLASS_NAMES = ("look", "hold", "pay")
 
@@ -97,3 +99,32 @@
     assert [state for state, next_states in REQUEST_TRANSITIONS.transitions.items() if not next_states] == [
         RequestState.CLOSED
     ]
+
+
+def test_request_before_start_is_an_error() -> None:
+    host = RecordingHost(entries=endpoints(1))
+    host.balancer.started = False
+    with pytest.raises(NotStartedError, match="before start"):
+        host.submit()
+
+
+def test_streamed_answer_belongs_to_the_client_from_its_start() -> None:
+    host = RecordingHost(settings(classes=(replace(SAFE, streaming=True),)), endpoints(4))
+    request_id = host.submit()
+    host.balancer.on_response_start(host.now_us, request_id, 0)
+    host.advance(9 * S)
+    host.end_attempt(request_id, Outcome.RESET, closed=True)
+    assert len(host.sent_to(request_id)) == 1
+    assert host.final_answers(request_id) == []
+    assert host.balancer.requests == {}
+
+
+@pytest.mark.parametrize("count", [0, 1])
+def test_requests_are_ended_without_tenants_zones_and_with_hardly_an_endpoint(count: int) -> None:
+    host = RecordingHost(Settings(classes=(SAFE,)), endpoints(count, zone=""))
+    request_id = host.submit(tenant="")
+    if count:
+        host.advance(10 * MS)
+        host.end_attempt(request_id, Outcome.OK)
+    host.advance(3 * S)
+    assert host.final_answers(request_id) == ([] if count else ["reject_request"])
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -38,7 +38,7 @@
         to_warming, to_others = sends_per_endpoint(host, warming, 30)
         total_to_warming += to_warming
         total_to_others += to_others
-    # The initial share is 0.2: twice that leaves room for chance, far below the factor 2.5 times 0.2.
+    # The initial share is 0.2: twice that allows for chance, far below the factor 2.5 times 0.2.
     assert total_to_warming < 0.4 * total_to_others
 
 
