--- a/corkdoor/sidecar/request_registry.py
+++ b/corkdoor/sidecar/request_registry.py
@@ -19,7 +19,7 @@
 from corkdoor.sidecar.clock import Alarm, now_us
 from corkdoor.sidecar.invariants import Invariant, InvariantLog
 from corkdoor.sidecar.lifecycle import Lifecycle
-from corkdoor.sidecar.proxied_request import ProxiedRequest, RequestState
+from corkdoor.sidecar.proxied_request import ANSWERED, CANCELLED, DONE, ProxiedRequest, RequestState
 from corkdoor.sidecar.upstream.manager import PoolManager
 
 request_log = logging.getLogger(__name__)  # a line for each request that is not answered 200
@@ -88,7 +88,7 @@
         """The client has disconnected: nothing more is sent for its request."""
         if not request.closed:
             self.counters["client_disconnects"] += 1
-            self._close(request, RequestState.CANCELLED)
+            self._close(request, CANCELLED)
             notify(self._balancer.on_request_cancelled, request.request_id)
 
     def answer(
@@ -102,7 +102,7 @@
         if request.closed:
             return
         failure = _failure_event(request, status) if status != HTTPStatus.OK else None
-        self._close(request, RequestState.ANSWERED)
+        self._close(request, ANSWERED)
         self.counters[f"responses_{int(status)}"] += 1
         if failure is not None:
             request_log.info(failure)
@@ -121,9 +121,9 @@
 
     def forget_if_done(self, request: ProxiedRequest) -> None:
         """Let go of a request that is closed, once none of its attempts is in flight."""
-        if not request.closed or request.state is RequestState.DONE or request.has_attempts_in_flight():
+        if not request.closed or request.state is DONE or request.has_attempts_in_flight():
             return
-        request.enter(RequestState.DONE)
+        request.enter(DONE)
         self._requests.pop(request.request_id, None)
         request.attempts.clear()  # they refer to the request, which would leave a reference cycle
         # Not before: an attempt that outlives its request, at a silent endpoint, must time out as well.
--- a/corkdoor/sidecar/resend_guard.py
+++ b/corkdoor/sidecar/resend_guard.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from corkdoor.model import Idempotency, Outcome
-from corkdoor.policy.retry_safety import NEVER_RAN, may_resend
+from corkdoor.policy.retry_safety import NEVER_RAN, FirstRun, may_resend
 from corkdoor.settings import Limits, RequestClass
 
 MAX_SEND_DELAY_US = 150_000  # the process may be held up for so long between reading its clock and writing
@@ -59,7 +59,8 @@
         request_class.idempotency,
         request_class.deduplication_scope,
         request_class.deduplication_window_us - MAX_SEND_DELAY_US,
-        (first.sent_us, *first.location),
+        FirstRun(first.sent_us, *first.location),
         now_us,
-        (location.zone, location.cell),
+        location.zone,
+        location.cell,
     )
--- a/corkdoor/sidecar/upstream/attempt.py
+++ b/corkdoor/sidecar/upstream/attempt.py
@@ -3,17 +3,17 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from enum import auto
+from enum import IntEnum, auto
 
 from corkdoor.model import Outcome
 from corkdoor.sidecar.clock import Alarm, now_us
 from corkdoor.sidecar.resend_guard import Location
 from corkdoor.sidecar.upstream.connection import Connection
 from corkdoor.sidecar.upstream.response import Response
-from corkdoor.state_machine import ObjectState, TransitionTable
+from corkdoor.state_machine import TransitionTable
 
 
-class AttemptState(ObjectState):
+class AttemptState(IntEnum):
     """How far an attempt has come."""
 
     PENDING = auto()  # nothing of it was written
@@ -21,12 +21,13 @@
     ENDED = auto()
 
 
+PENDING, SENT, ENDED = AttemptState  # bound once: members are slow to look up
 ATTEMPT_STATES = TransitionTable(
     "attempt",
     {
-        AttemptState.PENDING: frozenset((AttemptState.SENT, AttemptState.ENDED)),
-        AttemptState.SENT: frozenset((AttemptState.ENDED,)),
-        AttemptState.ENDED: frozenset(),
+        PENDING: frozenset((SENT, ENDED)),
+        SENT: frozenset((ENDED,)),
+        ENDED: frozenset(),
     },
 )
 
@@ -81,7 +82,7 @@
         self.encode = encode
         self.on_end = on_end
         self.label = label
-        self.state = AttemptState.PENDING
+        self.state = PENDING
         self.outcome: Outcome | None = None
         self.started_us = now_us()
         self.sent_us: int | None = None
@@ -91,11 +92,11 @@
     @property
     def ended(self) -> bool:
         """Whether it has its outcome."""
-        return self.state is AttemptState.ENDED
+        return self.state is ENDED
 
     def mark_sent(self, connection: Connection) -> int:
         """Note that this connection carries it from now on, and return the time."""
-        self.state = ATTEMPT_STATES.check(self.state, AttemptState.SENT)
+        self.state = ATTEMPT_STATES.check(self.state, SENT)
         self.connection = connection
         self.sent_us = now_us()
         return self.sent_us
@@ -104,7 +105,7 @@
         """End it, unless it has ended."""
         if self.ended:
             return
-        self.state = ATTEMPT_STATES.check(self.state, AttemptState.ENDED)
+        self.state = ATTEMPT_STATES.check(self.state, ENDED)
         self.outcome = outcome
         self.connection = None
         if self.timeout is not None:
--- a/corkdoor/sidecar/upstream/connection.py
+++ b/corkdoor/sidecar/upstream/connection.py
@@ -10,8 +10,12 @@
 from corkdoor.sidecar.resource_limits import ByteBudget
 from corkdoor.sidecar.transport.stream import StreamTransport
 from corkdoor.sidecar.upstream.connection_state import (
+    AWAITING_RESPONSE,
+    CLOSED,
     CONNECTION_STATES,
+    IDLE,
     REQUEST_SENT,
+    SENDING,
     WHEN_ALL_IS_SENT,
     WHEN_DATA_COMES,
     ConnectionState,
@@ -56,7 +60,7 @@
         self, owner: ConnectionOwner, budget: ByteBudget, max_body_bytes: int = MAX_BODY_BYTES
     ) -> None:
         self.owner = owner
-        self.state = ConnectionState.IDLE
+        self.state: ConnectionState = IDLE
         self.idle_since_us = now_us()
         self.last_data_us: int | None = None
         self._reader = ResponseReader(budget, max_body_bytes)
@@ -67,7 +71,7 @@
     @property
     def closed(self) -> bool:
         """Whether it has ended."""
-        return self.state is ConnectionState.CLOSED
+        return self.state is CLOSED
 
     def is_stale(self) -> bool:
         """Whether an idle connection has anything to read: its end, or what nobody asked for.
@@ -82,14 +86,14 @@
 
     def send(self, data: bytes) -> None:
         """Begin an exchange with a whole request."""
-        self._enter(ConnectionState.AWAITING_RESPONSE)
+        self._enter(AWAITING_RESPONSE)
         self.transport.write(data)
 
     def close(self) -> None:
         """Give up the exchange: whatever still comes on this connection reaches nobody."""
         if self.closed:
             return
-        self._enter(ConnectionState.CLOSED)
+        self._enter(CLOSED)
         self.transport.abort()
 
     def abandon(self, reason: str) -> None:
@@ -104,7 +108,7 @@
         self._reader.reset()
         self.last_data_us = None
         if reusable:
-            self._enter(ConnectionState.IDLE)
+            self._enter(IDLE)
         else:
             self.close()
         self.owner.on_response(self, response, reusable)
@@ -119,17 +123,17 @@
 
     def pause_writing(self) -> None:
         """The kernel has not taken all of the request."""
-        self._enter(ConnectionState.SENDING)
+        self._enter(SENDING)
 
     def resume_writing(self) -> None:
         """The kernel has the rest of the request."""
-        self._enter(WHEN_ALL_IS_SENT.get(self.state, ConnectionState.AWAITING_RESPONSE))
+        self._enter(WHEN_ALL_IS_SENT.get(self.state, AWAITING_RESPONSE))
 
     def data_received(self, data: bytes) -> None:
         """Read a part of the response."""
         if self.closed:
             return
-        if self.state is ConnectionState.IDLE:
+        if self.state is IDLE:
             self.abandon("bytes outside of an exchange")
             return
         self.last_data_us = now_us()
@@ -157,6 +161,6 @@
         last_state = self.state
         self._reader.close()
         self.last_data_us = None
-        if last_state is not ConnectionState.CLOSED:
-            self._enter(ConnectionState.CLOSED)
+        if last_state is not CLOSED:
+            self._enter(CLOSED)
             self.owner.on_lost(self, last_state)
--- a/corkdoor/sidecar/upstream/connection_state.py
+++ b/corkdoor/sidecar/upstream/connection_state.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from enum import auto
+from enum import IntEnum, auto
 
-from corkdoor.state_machine import ObjectState, TransitionTable
+from corkdoor.state_machine import TransitionTable
 
 
-class ConnectionState(ObjectState):
+class ConnectionState(IntEnum):
     """What is going on on a connection; it carries one exchange at a time."""
 
     IDLE = auto()  # no exchange
@@ -18,12 +18,8 @@
     CLOSED = auto()
 
 
-IDLE = ConnectionState.IDLE
-SENDING = ConnectionState.SENDING
-AWAITING_RESPONSE = ConnectionState.AWAITING_RESPONSE
-RECEIVING_EARLY = ConnectionState.RECEIVING_EARLY
-RECEIVING = ConnectionState.RECEIVING
-CLOSED = ConnectionState.CLOSED
+# Bound once: members are slow to look up.
+IDLE, SENDING, AWAITING_RESPONSE, RECEIVING_EARLY, RECEIVING, CLOSED = ConnectionState
 
 CONNECTION_STATES = TransitionTable(
     "upstream connection",
--- a/corkdoor/sidecar/upstream/response_reader.py
+++ b/corkdoor/sidecar/upstream/response_reader.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass, field
-from enum import auto
+from enum import IntEnum, auto
 
 import httptools
 
@@ -19,14 +19,14 @@
     ResponseError,
 )
 from corkdoor.sidecar.upstream.response import Response
-from corkdoor.state_machine import ObjectState, TransitionTable
+from corkdoor.state_machine import TransitionTable
 
 MAX_BODY_BYTES = 64 * 1024  # the protocol's limit
 MAX_HEAD_BYTES = 16 * 1024  # with all interim responses before it
 _FIRST_FINAL_STATUS = 200  # those below are interim: RFC 9110, 15
 
 
-class ResponsePhase(ObjectState):
+class ResponsePhase(IntEnum):
     """How far a response has been read."""
 
     HEAD = auto()
@@ -35,13 +35,14 @@
     COMPLETE = auto()
 
 
+HEAD, BODY, BODY_UNTIL_CLOSE, COMPLETE = ResponsePhase  # bound once: members are slow to look up
 RESPONSE_PHASES = TransitionTable(
     "response",
     {
-        ResponsePhase.HEAD: frozenset((ResponsePhase.BODY, ResponsePhase.BODY_UNTIL_CLOSE)),
-        ResponsePhase.BODY: frozenset((ResponsePhase.COMPLETE,)),
-        ResponsePhase.BODY_UNTIL_CLOSE: frozenset((ResponsePhase.COMPLETE,)),
-        ResponsePhase.COMPLETE: frozenset(),
+        HEAD: frozenset((BODY, BODY_UNTIL_CLOSE)),
+        BODY: frozenset((COMPLETE,)),
+        BODY_UNTIL_CLOSE: frozenset((COMPLETE,)),
+        COMPLETE: frozenset(),
     },
 )
 
@@ -50,7 +51,7 @@
 class _PartialResponse:
     """The response that is being read."""
 
-    phase: ResponsePhase = ResponsePhase.HEAD
+    phase: ResponsePhase = HEAD
     headers: list[tuple[bytes, bytes]] = field(default_factory=list)
     head_bytes: int = 0
     body: bytearray = field(default_factory=bytearray)
@@ -84,7 +85,7 @@
         parser, partial = self._parser, self._partial
         if parser is None:
             return None
-        began_in_head = partial.phase is ResponsePhase.HEAD
+        began_in_head = partial.phase is HEAD
         try:
             parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
@@ -99,7 +100,7 @@
     def feed_eof(self) -> Response | None:
         """Return the response that the orderly end of the connection completes, if there is one."""
         partial = self._partial
-        if self._parser is None or partial.phase is not ResponsePhase.BODY_UNTIL_CLOSE:
+        if self._parser is None or partial.phase is not BODY_UNTIL_CLOSE:
             return None
         self._finish(self._parser.get_status_code())
         return partial.complete
@@ -118,7 +119,7 @@
         """Guard against a head that never ends, or interim responses without end."""
         partial = self._partial
         partial.head_bytes += size
-        if partial.phase is ResponsePhase.HEAD and partial.head_bytes > MAX_HEAD_BYTES:
+        if partial.phase is HEAD and partial.head_bytes > MAX_HEAD_BYTES:
             raise HeadTooLargeError(f"the head exceeds {MAX_HEAD_BYTES} bytes")
 
     def _enter(self, phase: ResponsePhase) -> None:
@@ -127,7 +128,7 @@
     def _finish(self, status: int) -> None:
         partial = self._partial
         partial.complete = Response(status, partial.headers, bytes(partial.body))
-        self._enter(ResponsePhase.COMPLETE)
+        self._enter(COMPLETE)
 
     # --- the parser's callbacks ---
 
@@ -138,7 +139,7 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Take a header field; the trailers of a chunked body are dropped."""
-        if self._partial.phase is ResponsePhase.HEAD:
+        if self._partial.phase is HEAD:
             self._partial.headers.append((name, value.strip(OPTIONAL_WHITESPACE)))
 
     def on_headers_complete(self) -> None:
@@ -147,9 +148,9 @@
             return
         length = self._content_length()
         if length is None:
-            self._enter(ResponsePhase.BODY_UNTIL_CLOSE)
+            self._enter(BODY_UNTIL_CLOSE)
             return
-        self._enter(ResponsePhase.BODY)
+        self._enter(BODY)
         if length > self._max_body_bytes:
             raise BodyTooLargeError("the body is too long")
 
--- a/emulator/breakdown.py
+++ b/emulator/breakdown.py
@@ -18,7 +18,9 @@
 from typing import Any
 
 from corkdoor import balancer
-from corkdoor.policy.buckets import TokenBuckets
+from corkdoor.policy.availability import Availability
+from corkdoor.policy.endpoint_choice import EndpointChooser
+from corkdoor.policy.token_buckets import TokenBuckets
 from corkdoor.sidecar import __main__ as program
 from corkdoor.sidecar import clock, process, proxy
 from corkdoor.sidecar.attempt_sender import AttemptSender
@@ -36,8 +38,8 @@
     ("admit", Server, "admit"),
     ("host take", RequestRegistry, "accept"),
     ("module order", balancer.Balancer, "on_request"),
-    ("module in-use sum", balancer.Balancer, "_in_use"),
-    ("module pick", balancer.Balancer, "_pick"),
+    ("module in-use sum", Availability, "pool_share"),
+    ("module pick", EndpointChooser, "choose"),
     ("module refill", TokenBuckets, "refill"),
     ("hand off", proxy.Proxy, "send_attempt"),
     ("take connection", EndpointPool, "acquire"),
--- a/tests/test_pipelining.py
+++ b/tests/test_pipelining.py
@@ -10,6 +10,7 @@
 from corkdoor.sidecar.clients.backlog import MAX_WAITING_REQUESTS, PARSE_CHUNK_BYTES
 from corkdoor.sidecar.clients.connection import ClientConnection
 from corkdoor.sidecar.clients.timeouts import ClientTimeouts
+from corkdoor.sidecar.lifecycle import ProcessState
 from tests.sidecar_support import Client, Sidecar, run
 
 LONG_MS = 60_000
@@ -74,8 +75,8 @@
             client = await sidecar.client()
             send_at_once(client, 30)
             asked = await sidecar.endpoints[0].next()
-            sidecar.server.start_draining()
-            sidecar.server.start_closing_connections()
+            sidecar.proxy.lifecycle.enter(ProcessState.DRAINING)
+            sidecar.proxy.lifecycle.enter(ProcessState.CLOSING)
             asked.reply(200, b"n-0")
             serving = asyncio.create_task(serve(sidecar))
             for number in range(30):
@@ -204,8 +205,8 @@
                 (await sidecar.endpoints[0].next()).reply(200, b"x" * 30_000)
                 while caller.current_request is not None:
                     await asyncio.sleep(0.001)
-            sidecar.server.start_draining()
-            sidecar.server.start_closing_connections()
+            sidecar.proxy.lifecycle.enter(ProcessState.DRAINING)
+            sidecar.proxy.lifecycle.enter(ProcessState.CLOSING)
             client.send(request_id="last", deadline_ms=LONG_MS)
             (await sidecar.endpoints[0].next()).reply(200, b"x" * 30_000)
             while sidecar.server.clients:
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -19,6 +19,7 @@
 from corkdoor.sidecar.clock import Alarm, now_us
 from corkdoor.sidecar.discovery.endpoint_list import read_endpoint_list
 from corkdoor.sidecar.event_loop_lag import log_event_loop_lag
+from corkdoor.sidecar.lifecycle import ProcessState
 from corkdoor.sidecar.log_limits import MAX_LINES_PER_S, LineRateFilter
 from corkdoor.sidecar.proxied_request import ProxiedRequest
 from corkdoor.sidecar.status_report import status_line
@@ -118,8 +119,8 @@
             client.send(body=b"0")
             client.send(body=b"1")
             asked = await sidecar.endpoints[0].next()
-            sidecar.server.start_draining()
-            sidecar.server.start_closing_connections()
+            sidecar.proxy.lifecycle.enter(ProcessState.DRAINING)
+            sidecar.proxy.lifecycle.enter(ProcessState.CLOSING)
             asked.reply(200, asked.message.body)
             asked = await sidecar.endpoints[0].next()
             asked.reply(200, asked.message.body)
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -10,7 +10,8 @@
 
 import pytest
 
-from corkdoor.simulator import ProtocolError, SimulatorAdapter
+from corkdoor.simulator.adapter import SimulatorAdapter
+from corkdoor.simulator.errors import ProtocolError
 from tests.settings_documents import settings_document
 
 START = [
@@ -90,7 +91,7 @@
         io.StringIO(),
     )
     host.run()
-    assert host.instances["sidecar_0"].services.newer.total == 1
+    assert host.instances["sidecar_0"].rules.service_times.newer.total == 1
 
 
 def test_exception_in_the_module_is_told() -> None:
