--- a/corkdoor/sidecar/resend_guard.py
+++ b/corkdoor/sidecar/resend_guard.py
@@ -61,6 +61,5 @@
         request_class.deduplication_window_us - MAX_SEND_DELAY_US,
         FirstRun(first.sent_us, *first.location),
         now_us,
-        location.zone,
-        location.cell,
+        *location,
     )
