--- /dev/null
+++ b/tests/reload_support.py
@@ -0,0 +1,36 @@
+"""Configurations with other settings, put in force in a sidecar of this process."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+from typing import Any
+
+from corkdoor.settings_reader import read_settings
+from corkdoor.sidecar.config import Config
+from corkdoor.sidecar.resource_limits import ResourceLimits
+from tests.sidecar_support import SETUP, Sidecar
+
+NEW = {**SETUP["Categories"][0], "Name": "new"}
+LOOK, HOLD, PAY = SETUP["Categories"]
+
+
+def changed(
+    sidecar: Sidecar, digest: str = "d1", resource_limits: ResourceLimits | None = None, **settings: Any
+) -> Config:
+    """The configuration in force, but for these settings."""
+    now = sidecar.proxy.config
+    setup = {**sidecar.setup, **settings}
+    return replace(
+        now,
+        settings=read_settings(setup),
+        digest=digest,
+        resource_limits=resource_limits or now.resource_limits,
+    )
+
+
+def reload(sidecar: Sidecar, **changes: Any) -> None:
+    sidecar.server.reload(changed(sidecar, **changes))
+
+
+def without_pay() -> dict[str, Any]:
+    return {"Categories": [LOOK, HOLD]}
--- a/tests/sidecar_support.py
+++ b/tests/sidecar_support.py
@@ -280,6 +280,13 @@
     )
 
 
+async def succeeds(client: Client, endpoint: Fake, class_name: str = "pay", **values: Any) -> None:
+    """Send a request that this endpoint gets and answers, and check that the client has the answer."""
+    client.send(class_name, **values)
+    (await endpoint.next()).reply()
+    assert (await client.answer()).status == 200
+
+
 async def one_attempt(sidecar: Sidecar, class_name: str = "pay") -> tuple[Asked, Client]:
     """Send one request and return the endpoint's side of it, wherever it went, and the client."""
     client = await sidecar.client()
--- a/tests/test_reload.py
+++ b/tests/test_discovery_address.py
@@ -1,22 +1,20 @@
-"""New configurations under load: the watch moves, the list stays in use, and nothing ends the process."""
+"""Discovery at another address, and watches that stall."""
 
 from __future__ import annotations
 
 import asyncio
-import signal
 import time
 from dataclasses import replace
-from pathlib import Path
 
 import pytest
 
 from corkdoor.policy.discovery.watch_timeout import FIRST_MS, MAX_MS
 from corkdoor.sidecar.config import Address
-from tests.sidecar_support import Fake, Sidecar, listing, program, row, run
+from tests.sidecar_support import Fake, Sidecar, listing, row, run
 
 
-def test_watch_moves_and_takes_the_whole_list_of_the_new_address() -> None:
-    """The versions of the new address are its own: a change after ours would never come."""
+def test_watch_at_a_new_address_begins_with_the_complete_list() -> None:
+    """Its versions are its own: a watch from the old version on would miss changes."""
 
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
@@ -43,8 +41,8 @@
     run(test())
 
 
-def test_new_address_that_fails_at_first_is_asked_again_at_once() -> None:
-    """After a reload no longer back-off may stand in the way: what is told there counts 4 s later."""
+def test_new_address_that_fails_at_first_is_polled_again_at_once() -> None:
+    """Guards against a backoff from before the reload: changes count as notified after 4 s."""
 
     async def test() -> None:
         async with Sidecar() as sidecar:
@@ -56,15 +54,15 @@
             for _ in range(2):
                 (await other.next()).reply(503, b"")
             (await other.next()).reply(200, listing(4, True))
-            assert time.monotonic() - begun < 3.0  # after 4 s it counts as told
+            assert time.monotonic() - begun < 3.0
             await other.next()
 
     run(test())
 
 
 @pytest.mark.parametrize("ends", [False, True])
-def test_a_list_that_stops_half_way_is_asked_for_again_at_once(ends: bool) -> None:
-    """Found on disco+vast: what it would have told counts as told, and the watch waited on for 32 s."""
+def test_list_that_stalls_is_polled_for_again_at_once(ends: bool) -> None:
+    """Guards against waiting for the watch's timeout while its changes count as notified."""
 
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
@@ -85,8 +83,8 @@
     run(test())
 
 
-def test_the_first_watch_is_short_and_those_after_answered_ones_are_longer() -> None:
-    """Found on disco+vast: a watch that falls silent is found when its wait is over, 32 s later."""
+def test_first_watch_is_short_and_those_after_answered_ones_are_longer() -> None:
+    """Guards against a watch that is silent for a long timeout."""
 
     async def test() -> None:
         async with Sidecar() as sidecar:
@@ -104,7 +102,7 @@
     run(test())
 
 
-def test_move_to_the_same_address_takes_the_whole_list_again() -> None:
+def test_change_to_the_same_address_takes_the_complete_list_again() -> None:
     async def test() -> None:
         async with Sidecar() as sidecar:
             await sidecar.discovery.next()
@@ -119,30 +117,3 @@
             assert sidecar.discovery.asked.empty()
 
     run(test())
-
-
-@pytest.mark.parametrize("bad", ["", "[]", '{"discovery": 7}'])
-def test_sighup_reads_the_file_again_and_a_bad_one_changes_nothing(tmp_path: Path, bad: str) -> None:
-    """Seen: SIGHUP had no handler and ended the process. The file's address wins over the variable's."""
-
-    async def test() -> None:
-        first, second = [await Fake().start() for _ in range(2)]
-        told = {"discovery": first.address}
-        async with program(tmp_path, told, GW_DISCOVERY=first.address) as running:
-            file = tmp_path / "config.json"
-            await first.next()
-            client = await running.client()
-            client.send()
-            asked = await running.endpoint.next()
-            good = file.read_text(encoding="utf-8")
-            file.write_text(bad, encoding="utf-8")
-            running.process.send_signal(signal.SIGHUP)
-            await running.line_with("event=config_rejected ")
-            assert first.ends.empty()
-            file.write_text(good.replace(first.address, second.address), encoding="utf-8")
-            running.process.send_signal(signal.SIGHUP)
-            await second.next()
-            asked.reply()
-            assert (await client.answer()).status == 200
-
-    run(test())
--- /dev/null
+++ b/tests/test_endpoint_updates.py
@@ -0,0 +1,165 @@
+"""Watch events of discovery: what they change for pools, readiness and requests."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import time
+
+import pytest
+
+from corkdoor.model import Readiness, WatchEventKind
+from corkdoor.settings_reader import read_settings
+from corkdoor.sidecar.clock import now_us
+from corkdoor.sidecar.discovery.endpoint_list import read_endpoint_list
+from corkdoor.sidecar.proxied_request import ProxiedRequest
+from tests.sidecar_support import (
+    SETUP,
+    Fake,
+    Sidecar,
+    listing,
+    ready,
+    row,
+    run,
+    succeeds,
+)
+
+
+class InProcessClient:
+    """A client without a connection."""
+
+    def __init__(self) -> None:
+        self.statuses: asyncio.Queue[int] = asyncio.Queue()
+
+    def answer(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
+        self.statuses.put_nowait(status)
+
+    def departed(self) -> bool:
+        return False
+
+    def label(self) -> str:
+        return "d1"
+
+
+def new_request(client: InProcessClient, class_name: str = "pay") -> ProxiedRequest:
+    """A request as the server makes it; its head ends where the deadline follows."""
+    head = b"POST /pay HTTP/1.1\r\nHost: e\r\nReq-Id: d1\r\nContent-Length: 0\r\n"
+    chosen = next(c for c in read_settings(SETUP).classes if c.name == class_name)
+    return ProxiedRequest(client, chosen, "acme", None, now_us() + 2_000_000, head, b"")
+
+
+def test_cached_list_is_in_use_and_the_watch_continues_from_it() -> None:
+    async def test() -> None:
+        async with Sidecar() as sidecar:
+            assert await ready(await sidecar.client()) == 200
+            asked = await sidecar.discovery.next()
+            assert asked.message.first.startswith("GET /discovery/hosts?after=1&wait_ms=")
+            asked.reply(200, listing(4, False))
+            again = await sidecar.discovery.next()
+            assert again.message.first.startswith("GET /discovery/hosts?after=4&")
+            assert again.connection == asked.connection
+
+    run(test())
+
+
+def test_not_ready_before_any_endpoint_is_known() -> None:
+    async def test() -> None:
+        async with Sidecar(endpoints=0) as sidecar:
+            fake = await Fake().start()
+            client = await sidecar.client()
+            assert await ready(client) == 503
+            (await sidecar.discovery.next()).reply(200, listing(2, True, row("s-9", fake.address)))
+            await sidecar.discovery.next()
+            assert await ready(client) == 200
+
+    run(test())
+
+
+@pytest.mark.parametrize("bad", ["503", "reset", "no list"])
+def test_failed_watch_keeps_the_list_and_discovery_is_polled_again(bad: str) -> None:
+    async def test() -> None:
+        async with Sidecar() as sidecar:
+            asked = await sidecar.discovery.next()
+            if bad == "503":
+                asked.reply(503, b"")
+            elif bad == "reset":
+                asked.reset()
+            else:
+                asked.reply(200, b'{"instances": [{}]}')
+            begun = time.monotonic()
+            again = await sidecar.discovery.next()
+            assert time.monotonic() - begun > 0.2  # no tight loop
+            assert again.message.first.startswith("GET /discovery/hosts?after=1&")
+            client = await sidecar.client()
+            await succeeds(client, sidecar.endpoints[0])
+
+    run(test())
+
+
+def test_pushed_lists_are_watched_without_the_balancer_polling() -> None:
+    async def test() -> None:
+        async with Sidecar(Discovery="push") as sidecar:
+            (await sidecar.discovery.next()).reply(503, b"")
+            (await sidecar.discovery.next()).reply(200, listing(2, False))
+            assert (await sidecar.discovery.next()).message.first.startswith("GET /discovery/hosts?after=2&")
+
+    run(test())
+
+
+@pytest.mark.parametrize("reset", [True, False])
+def test_no_attempt_goes_to_an_endpoint_once_it_is_draining_or_removed(reset: bool) -> None:
+    async def test() -> None:
+        async with Sidecar(endpoints=2) as sidecar:
+            stays, goes = sidecar.endpoints
+            rows = [row("s-0", stays.address)] if reset else [row("s-1", goes.address, "draining")]
+            (await sidecar.discovery.next()).reply(200, listing(2, reset, *rows))
+            await sidecar.discovery.next()
+            for _ in range(8):
+                client = await sidecar.client()
+                client.send()
+                (await stays.next()).reply()
+                assert (await client.answer()).status == 200
+            assert goes.connections == 0
+
+    run(test())
+
+
+@pytest.mark.parametrize("reset", [True, False])
+def test_idle_connections_to_a_removed_endpoint_close(reset: bool) -> None:
+    async def test() -> None:
+        async with Sidecar() as sidecar:
+            client = await sidecar.client()
+            client.send()
+            (await sidecar.endpoints[0].next()).reply()
+            await client.answer()
+            begun = time.monotonic()
+            rows = [] if reset else [row("s-0", sidecar.endpoints[0].address, "gone")]
+            (await sidecar.discovery.next()).reply(200, listing(2, reset, *rows))
+            assert await sidecar.endpoints[0].ends.get() == 0
+            assert time.monotonic() - begun < 2.0  # long before it would have been closed as idle
+
+    run(test())
+
+
+def test_endpoint_that_begins_to_drain_while_a_connection_comes_up_gets_no_request() -> None:
+    async def test() -> None:
+        async with Sidecar() as sidecar:
+            client = InProcessClient()
+            sidecar.proxy.accept(new_request(client))
+            listed = read_endpoint_list(json.loads(listing(2, False, row("s-0", "127.0.0.1:1", "draining"))))
+            sidecar.proxy.on_watch_event(WatchEventKind.DELTA, listed.entries)
+            assert await client.statuses.get() == 503
+            assert sidecar.endpoints[0].asked.empty()
+
+    run(test())
+
+
+def test_start_of_an_endpoint_is_converted_to_the_monotonic_clock() -> None:
+    started_ms = time.time_ns() // 1_000_000 - 2000
+    document = json.loads(listing(1, True, row("s-0", "127.0.0.1:80", started_ms=started_ms)))
+    first, second = (read_endpoint_list(document).entries[0].endpoint for _ in range(2))
+    assert first.started_us == second.started_us  # a change would look like another restart
+    assert abs(now_us() - first.started_us - 2_000_000) < 1_000_000
+    assert first.readiness is Readiness.READY
+    long_ago = json.loads(listing(1, True, row("s-0", "127.0.0.1:80")))
+    assert read_endpoint_list(long_ago).entries[0].endpoint.started_us == 0
--- /dev/null
+++ b/tests/test_process_reload.py
@@ -0,0 +1,194 @@
+"""Reloads of the process by SIGHUP: nothing ends it, and no request fails for it."""
+
+from __future__ import annotations
+
+import asyncio
+import copy
+import json
+import signal
+from collections import Counter
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from corkdoor.sidecar.config import load
+from tests.reload_support import HOLD, LOOK, PAY
+from tests.sidecar_support import (
+    SETUP,
+    Client,
+    Fake,
+    Program,
+    listing,
+    program,
+    ready,
+    row,
+    run,
+    succeeds,
+)
+
+
+def write_settings(tmp_path: Path, **settings: Any) -> str:
+    """Replace the settings in the process's file, and return their digest."""
+    path = tmp_path / "config.json"
+    document = json.loads(path.read_text(encoding="utf-8"))
+    document["settings"] = {**SETUP, **settings}
+    path.write_text(json.dumps(document), encoding="utf-8")
+    return load({"GW_CONFIG": str(path)}).digest
+
+
+def send_sighup(running: Program) -> None:
+    running.process.send_signal(signal.SIGHUP)
+
+
+async def status_of(running: Program, class_name: str) -> int:
+    client = await running.client()
+    status = (await client.ask(class_name)).status
+    client.writer.close()
+    return status
+
+
+def test_all_requests_of_a_loaded_process_are_answered_over_twenty_reloads(tmp_path: Path) -> None:
+    async def endless(client: Client, statuses: Counter[int], stop: asyncio.Event) -> None:
+        while not stop.is_set():
+            statuses[(await client.ask()).status] += 1
+
+    async def answer(fakes: list[Fake]) -> None:
+        async def one(fake: Fake) -> None:
+            while True:
+                (await fake.next()).reply()
+
+        await asyncio.gather(*(one(fake) for fake in fakes))
+
+    async def test() -> None:
+        fakes = [await Fake().start() for _ in range(6)]
+        rows = [row(f"e-{i}", fake.address) for i, fake in enumerate(fakes)]
+        async with program(tmp_path, {"known": json.loads(listing(1, True, *rows))}) as running:
+            serving = asyncio.create_task(answer(fakes))
+            stop, statuses = asyncio.Event(), Counter[int]()
+            clients = [await running.client() for _ in range(12)]
+            load = [asyncio.create_task(endless(client, statuses, stop)) for client in clients]
+            for i in range(20):
+                own = {**PAY, "Name": f"own{i}"}
+                write_settings(tmp_path, Balancers=1 + i % 2, Categories=[PAY, own, HOLD, LOOK][: 2 + i % 3])
+                served = statuses.total()
+                send_sighup(running)
+                while await status_of(running, f"own{i}") == 404:
+                    await asyncio.sleep(0.001)
+                while statuses.total() < served + 12:
+                    await asyncio.sleep(0.001)
+            stop.set()
+            await asyncio.gather(*load)
+            serving.cancel()
+            assert set(statuses) == {200}
+            await running.line_with("event=status clients=12 ")  # connections that never closed
+
+    run(test())
+
+
+def test_of_two_signals_at_once_the_last_file_is_in_force(tmp_path: Path) -> None:
+    async def test() -> None:
+        async with program(tmp_path, {}) as running:
+            client = await running.client()
+            assert (await client.ask("new")).status == 404
+            write_settings(tmp_path, Categories=[LOOK])
+            send_sighup(running)
+            digest = write_settings(tmp_path, Categories=[{**PAY, "Name": "new"}])
+            send_sighup(running)
+            await running.line_with(f" settings={digest} ")
+            client = await running.client()
+            await succeeds(client, running.endpoint, "new")
+            client = await running.client()
+            assert (await client.ask("look")).status == 404
+
+    run(test())
+
+
+def test_partly_written_file_changes_nothing_and_the_next_signal_reads_it_again(tmp_path: Path) -> None:
+    async def test() -> None:
+        async with program(tmp_path, {}) as running:
+            file = tmp_path / "config.json"
+            digest = write_settings(tmp_path, Categories=[{**PAY, "Name": "new"}])
+            whole = file.read_text(encoding="utf-8")
+            file.write_text(whole[: len(whole) // 2], encoding="utf-8")
+            send_sighup(running)
+            await running.line_with("event=config_rejected key=GW_CONFIG ")
+            client = await running.client()
+            await succeeds(client, running.endpoint, "pay")
+            file.write_text(whole, encoding="utf-8")
+            send_sighup(running)
+            await running.line_with(f"event=config_reloaded changed=True settings={digest} ")
+            await succeeds(client, running.endpoint, "new")
+
+    run(test())
+
+
+@pytest.mark.parametrize(
+    ("change", "key", "reason"),
+    [
+        ({"name": "n1"}, "name", "n0 can't become n1"),
+        ({"settings": {**SETUP, "Layer": 1, "Tiers": ["a", "b"]}}, '"settings: Layer"', "0 can't become 1"),
+        ({"settings": {**SETUP, "Categories": []}}, "settings", "Categories"),
+        ({"limits": {"sockets": 0}}, "limits.sockets", "impossible value 0"),
+    ],
+)
+def test_rejected_file_is_logged_with_key_and_reason(
+    tmp_path: Path, change: dict[str, Any], key: str, reason: str
+) -> None:
+    async def test() -> None:
+        async with program(tmp_path, {}) as running:
+            file = tmp_path / "config.json"
+            document = copy.deepcopy(json.loads(file.read_text(encoding="utf-8")))
+            file.write_text(json.dumps({**document, **change}), encoding="utf-8")
+            send_sighup(running)
+            await running.line_with(f'event=config_rejected key={key} reason="{reason}')
+            client = await running.client()
+            await succeeds(client, running.endpoint, "pay")
+
+    run(test())
+
+
+def test_reload_during_a_graceful_shutdown_changes_neither_requests_nor_exit_status(tmp_path: Path) -> None:
+    async def test() -> None:
+        async with program(tmp_path, {}) as running:
+            client, other = await running.client(), await running.client()
+            client.send("pay")
+            asked = await running.endpoint.next()
+            digest = write_settings(tmp_path, Categories=[{**LOOK, "DeadlineUs": 100_000}])
+            running.process.send_signal(signal.SIGTERM)
+            while await ready(other) == 200:
+                await asyncio.sleep(0.001)
+            send_sighup(running)
+            await running.line_with(f"event=config_reloaded changed=True settings={digest} ")
+            asked.reply()
+            assert (await client.answer()).status == 200
+            assert await asyncio.to_thread(running.process.wait) == 0
+
+    run(test())
+
+
+@pytest.mark.parametrize("bad", ["", "[]", '{"discovery": 7}'])
+def test_sighup_reads_the_file_again_and_a_bad_one_changes_nothing(tmp_path: Path, bad: str) -> None:
+    """The address in the file takes precedence over the environment's."""
+
+    async def test() -> None:
+        first, second = [await Fake().start() for _ in range(2)]
+        told = {"discovery": first.address}
+        async with program(tmp_path, told, GW_DISCOVERY=first.address) as running:
+            file = tmp_path / "config.json"
+            await first.next()
+            client = await running.client()
+            client.send()
+            asked = await running.endpoint.next()
+            good = file.read_text(encoding="utf-8")
+            file.write_text(bad, encoding="utf-8")
+            running.process.send_signal(signal.SIGHUP)
+            await running.line_with("event=config_rejected ")
+            assert first.ends.empty()
+            file.write_text(good.replace(first.address, second.address), encoding="utf-8")
+            running.process.send_signal(signal.SIGHUP)
+            await second.next()
+            asked.reply()
+            assert (await client.answer()).status == 200
+
+    run(test())
--- /dev/null
+++ b/tests/test_settings_reload.py
@@ -0,0 +1,214 @@
+"""Reloaded settings on real sockets: in force at once, all or nothing, and no request fails for it."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+from dataclasses import replace
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from corkdoor.policy.discovery.poll_state import PollState
+from corkdoor.sidecar.config import ConfigError, load
+from corkdoor.sidecar.resource_limits import ResourceLimits
+from corkdoor.sidecar.status_report import status_line
+from tests.reload_support import HOLD, LOOK, NEW, PAY, changed, reload, without_pay
+from tests.sidecar_support import (
+    SETUP,
+    Sidecar,
+    listing,
+    run,
+    succeeds,
+)
+from tests.test_crowding import arrivals
+
+
+def test_requests_that_are_open_over_twenty_reloads_are_answered_once_on_their_connections() -> None:
+    """Classes go and come back, aims, tenants, counts and limits change, with 200 requests out."""
+
+    async def test() -> None:
+        async with Sidecar(endpoints=40) as sidecar:
+            queue = arrivals(sidecar)
+            clients = [await sidecar.client() for _ in range(200)]
+            for client in clients:
+                client.send()
+            out = [await queue.get() for _ in clients]
+            opened = sidecar.proxy.upstream.open_connections
+            variants: list[dict[str, Any]] = [
+                without_pay(),
+                {"Categories": [{**PAY, "Effect": "idempotent", "AimUs": 500_000}, NEW]},
+                {"Parties": [{"Name": "else", "QuotaPerS": 1.0}], "Balancers": 9, "Rank": 4},
+                {"MyZone": "b", "Allowed": {"MaxAttempts": 1}, "Goal": {"WorstClass": 1.0}},
+            ]
+            for i in range(20):
+                reload(sidecar, digest=f"d{i}", **variants[i % 4])
+                for asked in out[i * 10 : i * 10 + 10]:
+                    asked.reply()
+            reload(sidecar, digest="last")
+            assert [(await client.answer()).status for client in clients] == [200] * 200
+            assert sidecar.proxy.settings_changes == 21
+            assert len(sidecar.server.clients) == 200
+            assert sidecar.proxy.upstream.open_connections == opened
+            assert queue.empty()
+            for client in clients:  # what comes next on each connection is the next answer
+                client.send()
+            for _ in clients:
+                (await queue.get()).reply(200, b"next")
+            assert {(await client.answer()).body for client in clients} == {b"next"}
+            assert all(fake.ends.empty() for fake in sidecar.endpoints)
+            assert not sidecar.proxy.requests
+
+    run(test())
+
+
+def test_open_and_queued_requests_of_a_removed_class_are_answered_and_new_ones_are_unknown() -> None:
+    async def test() -> None:
+        async with Sidecar() as sidecar:
+            clients = [await sidecar.client() for _ in range(30)]
+            queue = sidecar.proxy.balancer.queue
+            sent = []
+            for client in clients:
+                client.send()
+                sent.append(client)
+                while len(sidecar.proxy.requests) < len(sent):
+                    await asyncio.sleep(0.001)
+                if queue.count == 2:
+                    break
+            assert queue.count == 2
+            reload(sidecar, **without_pay())
+            other = await sidecar.client()
+            assert (await other.ask()).status == 404
+            assert (queue.count, len(sidecar.proxy.requests)) == (2, len(sent))
+            for _ in sent:
+                (await sidecar.endpoints[0].next()).reply()
+            assert [(await client.answer()).status for client in sent] == [200] * len(sent)
+
+    run(test())
+
+
+def test_added_classes_and_tenants_are_served_and_removed_ones_are_not() -> None:
+    async def test() -> None:
+        async with Sidecar() as sidecar:
+            client = await sidecar.client()
+            assert (await client.ask("new")).status == 404
+            client = await sidecar.client()
+            client.send("look", Req_Owner="zeta")
+            assert (await client.answer()).status == 400
+            reload(sidecar, Categories=[LOOK, {**PAY, "Name": "new"}], Parties=[{"Name": "zeta"}])
+            client = await sidecar.client()
+            await succeeds(client, sidecar.endpoints[0], "new", Req_Owner="zeta")
+            client.send("look", Req_Owner="acme")
+            assert (await client.answer()).status == 400
+
+    run(test())
+
+
+def test_idempotency_that_changes_while_an_attempt_is_in_flight_holds_for_later_requests() -> None:
+    async def test() -> None:
+        async with Sidecar() as sidecar:
+            client = await sidecar.client()
+            client.send()
+            asked = await sidecar.endpoints[0].next()
+            reload(sidecar, Categories=[LOOK, HOLD, {**PAY, "Effect": "idempotent"}])
+            asked.reset()
+            assert (await client.answer()).status == 502  # at most once: it may have run
+            assert sidecar.endpoints[0].asked.empty()
+            assert (await client.ask()).status == 405  # what is safe to repeat is asked for with GET
+
+    run(test())
+
+
+@pytest.mark.parametrize("before", ["ask", "push"])
+@pytest.mark.parametrize("after", ["ask", "push"])
+def test_a_live_watch_at_the_same_address_stays_open(before: str, after: str) -> None:
+    """Guards discovery against polls of thousands of sidecars that reload at once."""
+
+    async def test() -> None:
+        async with Sidecar(Discovery=before) as sidecar:
+            asked = await sidecar.discovery.next()
+            for i in range(3):
+                reload(sidecar, digest=str(i), Discovery=after, Balancers=i + 1)
+            asked.reply(200, listing(2, False))
+            asked = await sidecar.discovery.next()
+            assert asked.message.first.startswith("GET /discovery/hosts?after=2&")
+            assert (sidecar.discovery.connections, sidecar.discovery.ends.qsize()) == (1, 0)
+            asked.reply(503, b"")
+            await sidecar.discovery.next()  # either form asks again, the module's or the watch's own way
+
+    run(test())
+
+
+def test_lists_that_are_pushed_from_now_on_are_watched_without_waiting_for_the_next_poll(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    async def test() -> None:
+        async with Sidecar() as sidecar:
+            monkeypatch.setattr(sidecar.proxy, "start_timer", lambda *_: None)  # it never falls due
+            (await sidecar.discovery.next()).reply(503, b"")
+            while sidecar.proxy.balancer.discovery.state is PollState.CALLING:
+                await asyncio.sleep(0.001)
+            reload(sidecar, Discovery="push")
+            await sidecar.discovery.next()
+
+    run(test())
+
+
+def test_same_settings_do_not_reconfigure_the_balancer(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def test() -> None:
+        async with Sidecar() as sidecar:
+            monkeypatch.setattr(sidecar.proxy.balancer, "reconfigure", None)
+            version = sidecar.proxy.version_fields()
+            sidecar.server.reload(changed(sidecar, digest=sidecar.proxy.config.digest))
+            assert sidecar.proxy.version_fields() == version
+            stated = " ".join(f"{key}={value}" for key, value in version.items())
+            assert f" {stated} " in status_line(sidecar.proxy, 0, 0)
+
+    run(test())
+
+
+@pytest.mark.parametrize("key", ["name", "listen", "Layer"])
+def test_reload_with_an_immutable_value_is_rejected_as_a_whole(key: str) -> None:
+    async def test() -> None:
+        async with Sidecar() as sidecar:
+            config = changed(sidecar, resource_limits=ResourceLimits(7, 7, 7), **without_pay())
+            if key == "Layer":
+                config = replace(config, settings=replace(config.settings, layer=1, layer_count=2))
+            elif key == "name":
+                config = replace(config, name="n1")
+            else:
+                config = replace(config, listen=replace(config.listen, port=1))
+            config = replace(config, discovery=replace(config.discovery, port=1), seed=9)
+            before = sidecar.proxy.config, sidecar.proxy.balancer.settings
+            with pytest.raises(ConfigError, match=f"{key}: .* can't become .* while the process runs"):
+                sidecar.server.reload(config)
+            assert (sidecar.proxy.config, sidecar.proxy.balancer.settings) == before
+            assert (sidecar.server.clients.limit, sidecar.proxy.upstream.max_connections) == (500, 400)
+            assert sidecar.proxy.watcher.port == before[0].discovery.port
+            client = await sidecar.client()
+            await succeeds(client, sidecar.endpoints[0])
+
+    run(test())
+
+
+def test_graceful_shutdown_follows_the_deadlines_in_force() -> None:
+    async def test() -> None:
+        async with Sidecar() as sidecar:
+            reload(sidecar, Categories=[{**LOOK, "DeadlineUs": 700_000}])
+            assert sidecar.server.admission.longest_deadline_s == 0.7
+
+    run(test())
+
+
+def test_digest_depends_only_on_what_the_settings_state(tmp_path: Path) -> None:
+    def digest(settings: dict[str, Any], **document: Any) -> str:
+        told = {"listen": "a:1", "discovery": "a:2", "seed": "1", "settings": settings, **document}
+        (tmp_path / "c").write_text(json.dumps(told, indent=len(document)), encoding="utf-8")
+        return load({"GW_CONFIG": str(tmp_path / "c")}).digest
+
+    first = digest(SETUP)
+    assert len(first) == 8
+    assert int(first, 16) >= 0
+    assert digest(dict(reversed(SETUP.items())), name="other", limits={"sockets": 300}) == first
+    assert digest({**SETUP, "Balancers": 2}) != first
