--- a/corkdoor/sidecar/lifecycle.py
+++ b/corkdoor/sidecar/lifecycle.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from enum import auto
+from enum import IntEnum, auto
 
-from corkdoor.state_machine import ObjectState, TransitionTable
+from corkdoor.state_machine import TransitionTable
 
 
-class ProcessState(ObjectState):
+class ProcessState(IntEnum):
     """How far the process has come; each state but the last follows the one before."""
 
     STARTING = auto()
@@ -29,7 +29,7 @@
         ProcessState.STOPPED: frozenset(),
     },
 )
-_ENDING = frozenset((ProcessState.REJECTING, ProcessState.STOPPED))
+SERVING, CLOSING, REJECTING = ProcessState.SERVING, ProcessState.CLOSING, ProcessState.REJECTING
 
 
 class Lifecycle:
@@ -51,14 +51,14 @@
     @property
     def wants_clients(self) -> bool:
         """Whether new clients are welcome."""
-        return self.state is ProcessState.STARTING or self.state is ProcessState.SERVING
+        return self.state <= SERVING
 
     @property
     def closing(self) -> bool:
         """Whether clients are to leave."""
-        return self.state is ProcessState.CLOSING or self.state in _ENDING
+        return self.state >= CLOSING
 
     @property
     def rejecting(self) -> bool:
         """Whether what comes now is rejected unsent."""
-        return self.state in _ENDING
+        return self.state >= REJECTING
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from corkdoor import balancer
 from corkdoor.model import WatchEventKind
+from corkdoor.policy import request_queue, zone_spillover
 from corkdoor.sidecar.clients.backlog import MAX_WAITING_REQUESTS
 from corkdoor.sidecar.clients.timeouts import ClientTimeouts
 from corkdoor.sidecar.discovery.endpoint_list import read_endpoint_list
@@ -341,7 +341,9 @@
     leave: Callable[[socket.socket], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Every second of a hundred leaves in the step in which all their calls may be sent."""
-    monkeypatch.setattr(balancer, "HOLD_SHARE", 2.0)  # a busy machine is slow to warm 200 connections
+    # A busy machine is slow to warm 200 connections.
+    for module in (request_queue, zone_spillover):
+        monkeypatch.setattr(module, "MAX_WAIT_SHARE_OUTERMOST", 2.0)
 
     async def test() -> None:
         async with Sidecar(endpoints=4) as sidecar:
