--- a/corkdoor/policy/admission.py
+++ b/corkdoor/policy/admission.py
@@ -45,10 +45,10 @@
         self.configure(settings)
 
     def configure(self, settings: Settings) -> None:
-        """Take the classes of the settings; what is known of the timeouts of those that stay is kept."""
+        """Take the classes of the settings; what was learned of the timeouts of those that stay is kept."""
         self._outermost = settings.layer == 0
-        known = self.usual_timeouts
-        self.usual_timeouts = {c.name: known.get(c.name) or UsualTimeout() for c in settings.classes}
+        previous = self.usual_timeouts
+        self.usual_timeouts = {c.name: previous.get(c.name) or UsualTimeout() for c in settings.classes}
 
     def assess(self, request: Request, cost_hint_us: int | None) -> float:
         """Set a request's cost, quota state and priority; return its cost under the present stress, in RU."""
@@ -65,8 +65,11 @@
         age_us = self._age_us(request, timeout_us)
         if timeout_us <= 0:
             return RejectionReason.EXPIRED
-        if not request.request_class.late_answer_value and self._is_too_late(now_us, request, age_us):
-            return RejectionReason.TOO_LATE
+        if not request.request_class.late_answer_value:
+            # A late answer has no value, so the objective is as good as the deadline.
+            request.answer_by_us = min(request.answer_by_us, now_us + request.objective_us - age_us)
+            if self._is_too_late(now_us, request):
+                return RejectionReason.TOO_LATE
         if not self._outermost:
             return None
         if request.over_quota and (self._ratio.stress() > 0 or self._shortage.is_short):
@@ -82,12 +85,26 @@
         return self.usual_timeouts[request_class.name].age_us(timeout_us, request_class.deadline_us)
 
     @staticmethod
-    def _is_too_late(now_us: int, request: Request, age_us: int) -> bool:
-        """Bring forward when an answer loses its value, and return whether none can come by then."""
-        request.answer_by_us = min(request.answer_by_us, now_us + request.objective_us - age_us)
+    def _is_too_late(now_us: int, request: Request) -> bool:
+        """Return whether the request has so little time left that no answer is likely to come."""
         least_share = request.placement.local.limit.median * TOO_LATE_SHARE
         return request.answer_by_us - now_us <= request.objective_us * least_share
 
+    @staticmethod
+    def charge(request: Request, stressed_cost_ru: float) -> None:
+        """Charge an admitted request to its tenant, unless that is over its quota."""
+        if request.over_quota:
+            return
+        request.bucket.tokens_ru -= stressed_cost_ru
+        request.charged_ru = stressed_cost_ru
+
+    def may_skip_queue(self, request: Request) -> bool:
+        """Return whether the request may be sent before those that are queued.
+
+        Low priorities may: they are not queued behind others, and may use a smaller share of the capacity.
+        """
+        return not self._queue.count or self._priorities.is_low(request.priority)
+
     def reject_unsent(self, request: Request) -> RejectionReason | None:
         """Return why a request that found no capacity is rejected rather than queued, or None."""
         if not self._outermost or not self._priorities.is_low(request.priority):
--- a/corkdoor/sidecar/clients/states.py
+++ b/corkdoor/sidecar/clients/states.py
@@ -6,12 +6,12 @@
 
 from __future__ import annotations
 
-from enum import auto
+from enum import IntEnum, auto
 
-from corkdoor.state_machine import ObjectState, TransitionTable
+from corkdoor.state_machine import TransitionTable
 
 
-class InputState(ObjectState):
+class InputState(IntEnum):
     """Where in the stream of requests the parser is."""
 
     IDLE = auto()  # between requests
@@ -22,21 +22,21 @@
     CLOSED = auto()  # the connection has ended
 
 
-class OutputState(ObjectState):
+class OutputState(IntEnum):
     """Whether the client reads its responses."""
 
     FLOWING = auto()
     BLOCKED = auto()  # too much is buffered: no further request is served
 
 
-class ClientState(ObjectState):
+class ClientState(IntEnum):
     """What the client has shown of itself; limits on time and eviction depend on it."""
 
     NEW = auto()  # it has made no valid request
     ESTABLISHED = auto()
 
 
-class ReadState(ObjectState):
+class ReadState(IntEnum):
     """Whether the connection is read."""
 
     READING = auto()
--- a/corkdoor/sidecar/clients/timeouts.py
+++ b/corkdoor/sidecar/clients/timeouts.py
@@ -4,11 +4,14 @@
 
 from dataclasses import dataclass
 from http import HTTPStatus
+from typing import TYPE_CHECKING
 
 from corkdoor.sidecar.clients.close_reason import CloseReason
-from corkdoor.sidecar.clients.connection import ClientConnection
 from corkdoor.sidecar.clients.errors import HTTPError
 
+if TYPE_CHECKING:
+    from corkdoor.sidecar.clients.connection import ClientConnection
+
 
 @dataclass(frozen=True, slots=True)
 class ClientTimeouts:
--- a/corkdoor/sidecar/transport/states.py
+++ b/corkdoor/sidecar/transport/states.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from enum import auto
+from enum import IntEnum, auto
 
-from corkdoor.state_machine import ObjectState, TransitionTable
+from corkdoor.state_machine import TransitionTable
 
 
-class TransportState(ObjectState):
+class TransportState(IntEnum):
     """The life of one connection."""
 
     OPEN = auto()
@@ -15,7 +15,7 @@
     CLOSED = auto()  # the descriptor has been given back
 
 
-class ReceiveState(ObjectState):
+class ReceiveState(IntEnum):
     """What happens to input."""
 
     READING = auto()
@@ -23,7 +23,7 @@
     ENDED = auto()  # the peer has ended its output, or the connection ends
 
 
-class SendState(ObjectState):
+class SendState(IntEnum):
     """What happens to output."""
 
     OPEN = auto()
@@ -31,14 +31,14 @@
     ENDED = auto()
 
 
-class WriterState(ObjectState):
+class WriterState(IntEnum):
     """Whether the protocol may write: it is told to stop while too much output is buffered."""
 
     WRITABLE = auto()
     PAUSED = auto()
 
 
-class WatchState(ObjectState):
+class WatchState(IntEnum):
     """What a watch on a descriptor's readiness is doing."""
 
     OFF = auto()
@@ -46,7 +46,7 @@
     RETRYING = auto()  # a system call failed for want of memory: a timer runs until the next try
 
 
-class ListenerState(ObjectState):
+class ListenerState(IntEnum):
     """The life of a listening socket."""
 
     OPEN = auto()
--- a/tests/sidecar_support.py
+++ b/tests/sidecar_support.py
@@ -342,6 +342,13 @@
     )
 
 
+async def succeeds(client: Client, endpoint: FakeServer, class_name: str = "pay", **values: Any) -> None:
+    """Send a request that this endpoint gets and answers, and check that the client has the answer."""
+    client.send(class_name, **values)
+    (await endpoint.next_request()).reply()
+    assert (await client.answer()).status == 200
+
+
 async def send_first_attempt(sidecar: Sidecar, class_name: str = "pay") -> tuple[ReceivedRequest, Client]:
     """Send one request and return the endpoint's side of it, wherever it went, and the client."""
     client = await sidecar.client()
