--- /dev/null
+++ b/tests/sidecar_process.py
@@ -0,0 +1,91 @@
+"""The sidecar as a process of its own."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import json
+import os
+import random
+import socket
+import subprocess
+import sys
+from collections.abc import AsyncIterator
+from pathlib import Path
+from typing import Any
+
+from tests.fake_server import FakeServer, endpoint_list, endpoint_row
+from tests.sidecar_client import Client
+from tests.sidecar_support import SETTINGS
+
+
+def start_program(tmp_path: Path, changes: dict[str, Any], **variables: str) -> subprocess.Popen[str]:
+    """The program as a process of its own, told by a file in `tmp_path` and by these variables."""
+    document = {"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "8c1f", **changes}
+    path = tmp_path / "config.json"
+    path.write_text(json.dumps(document), encoding="utf-8")
+    environ = {k: v for k, v in os.environ.items() if not k.startswith("GW_")}
+    return subprocess.Popen(
+        [sys.executable, "-m", "corkdoor.sidecar"],
+        env={**environ, "GW_CONFIG": str(path), **variables},
+        stderr=subprocess.PIPE,
+        text=True,
+    )
+
+
+class SidecarProcess:
+    """A sidecar in service, with one fake endpoint.
+
+    Args:
+        process: the process.
+        endpoint: its endpoint.
+        address: host and port that it listens on.
+    """
+
+    def __init__(
+        self, process: subprocess.Popen[str], endpoint: FakeServer, address: tuple[str, int]
+    ) -> None:
+        self.process = process
+        self.endpoint = endpoint
+        self.address = address
+
+    async def client(self) -> Client:
+        """A client that is connected to it."""
+        return Client(*await asyncio.open_connection(*self.address))
+
+    async def line_with(self, text: str) -> None:
+        """Read its log up to a line with this text."""
+        assert self.process.stderr is not None
+        while text not in (line := await asyncio.to_thread(self.process.stderr.readline)):
+            assert line, "the log has ended"
+
+
+def free_port() -> int:
+    """A port that nobody has, below those that outgoing connections get: they would race for it."""
+    while True:
+        port = random.randrange(10_000, 30_000)
+        with contextlib.suppress(OSError), socket.create_server(("127.0.0.1", port)):
+            return port
+
+
+@contextlib.asynccontextmanager
+async def running_program(
+    tmp_path: Path, changes: dict[str, Any], **variables: str
+) -> AsyncIterator[SidecarProcess]:
+    """A sidecar in service until the block ends; `changes` are to its file, `variables` its environment."""
+    endpoint = await FakeServer().start()
+    address = ("127.0.0.1", free_port())
+    document = {
+        "listen": f"127.0.0.1:{address[1]}",
+        "settings": SETTINGS,
+        "known": json.loads(endpoint_list(1, True, endpoint_row("s-0", endpoint.address))),
+        **changes,
+    }
+    process = start_program(tmp_path, document, **variables)
+    try:
+        running = SidecarProcess(process, endpoint, address)
+        await running.line_with("event=serving ")
+        yield running
+    finally:
+        process.kill()
+        process.communicate()
--- a/tests/sidecar_support.py
+++ b/tests/sidecar_support.py
@@ -1,17 +1,10 @@
-"""A sidecar in this process on loopback sockets; tests drive its fake endpoints and discovery."""
+"""A sidecar in this process on loopback sockets, between clients, fake endpoints and a fake discovery."""
 
 from __future__ import annotations
 
 import asyncio
-import contextlib
 import json
-import os
-import random
-import socket
-import subprocess
-import sys
-from collections.abc import AsyncIterator, Callable, Coroutine
-from pathlib import Path
+from collections.abc import Callable, Coroutine
 from typing import Any
 
 import uvloop
@@ -26,6 +19,8 @@
 from corkdoor.sidecar.lifecycle import ProcessState
 from corkdoor.sidecar.proxy import Proxy
 from corkdoor.sidecar.resource_limits import ResourceLimits
+from tests.fake_server import FakeServer, ReceivedRequest, endpoint_list, endpoint_row
+from tests.sidecar_client import Client
 
 PATIENCE_S = 10.0  # a test that waits longer for an event has failed
 
@@ -67,9 +62,6 @@
     "Tiers": ["one"],
 }
 
-# The head of a valid request, but for how its body is framed.
-REQUEST_HEAD = "POST /pay HTTP/1.1\r\nHost: a\r\nReq-Id: 1\r\nReq-Owner: acme\r\nReq-Deadline-Ms: 2000\r\n"
-
 
 async def wait_until(condition: Callable[[], object], interval_s: float = 0.01) -> None:
     """Wait until the condition holds; the time limit of the test ends a wait for what never comes."""
@@ -88,136 +80,17 @@
         runner.run(bounded())
 
 
-class Message:
-    """A whole HTTP message read off a connection."""
-
-    def __init__(self, first: bytes, headers: dict[str, str], body: bytes) -> None:
-        self.first = first.decode()
-        self.headers = headers
-        self.body = body
-
-    @property
-    def status(self) -> int:
-        return int(self.first.split(" ")[1])
-
-
-async def read_message(reader: asyncio.StreamReader) -> Message:
-    head = await reader.readuntil(b"\r\n\r\n")
-    first, *lines = head[:-4].split(b"\r\n")
-    headers = {}
-    for line in lines:
-        name, _, value = line.decode().partition(": ")
-        headers[name.lower()] = value
-    return Message(first, headers, await reader.readexactly(int(headers.get("content-length", "0"))))
-
-
-class ReceivedRequest:
-    """A request as an endpoint or discovery got it; the test says what comes back."""
-
-    def __init__(self, message: Message, writer: asyncio.StreamWriter, connection: int) -> None:
-        self.message = message
-        self.writer = writer
-        self.connection = connection  # which of the server's connections it came on
-
-    def reply(self, status: int = 200, body: bytes = b"done", *headers: str) -> None:
-        lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}", *headers]
-        self.writer.write("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
-
-    def reset(self) -> None:
-        self.writer.transport.abort()
-
-
-class FakeServer:
-    """A server whose every request waits for the test's word."""
-
-    def __init__(self) -> None:
-        self.requests: asyncio.Queue[ReceivedRequest] = asyncio.Queue()
-        self.connections = 0
-        self.writers: list[asyncio.StreamWriter] = []
-        self.ends: asyncio.Queue[int] = asyncio.Queue()  # connections that the other side ended
-
-    async def start(self) -> FakeServer:
-        self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
-        self.address = f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
-        return self
-
-    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        number = self.connections
-        self.connections += 1
-        self.writers.append(writer)
-        try:
-            while True:
-                self.requests.put_nowait(ReceivedRequest(await read_message(reader), writer, number))
-        except (asyncio.IncompleteReadError, ConnectionError):
-            self.ends.put_nowait(number)
-        finally:
-            writer.close()
-
-    async def next_request(self) -> ReceivedRequest:
-        return await self.requests.get()
-
-
-def endpoint_row(
-    endpoint: str, address: str, lifecycle: str = "ready", started_ms: int = 0
-) -> dict[str, Any]:
-    return {
-        "instanceId": endpoint,
-        "hostPort": address,
-        "zone": "a",
-        "machineType": "m",
-        "cell": 0,
-        "lifecycle": lifecycle,
-        "weight": 1.0,
-        "startedAtMs": started_ms,
-    }
-
-
-def endpoint_list(generation: int, reset: bool, *rows: dict[str, Any]) -> bytes:
-    return json.dumps({"generation": generation, "reset": reset, "instances": rows}).encode()
-
-
-class Client:
-    """A caller's connection."""
-
-    def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.reader = reader
-        self.writer = writer
-        self.serial = 0
-
-    def send(
-        self,
-        class_name: str = "pay",
-        deadline_ms: int = 2500,
-        body: bytes = b"x",
-        request_id: str = "",
-        **changes: str,
-    ) -> None:
-        self.serial += 1
-        headers = {
-            "Host": "service.internal",
-            "Req-Id": request_id or f"{id(self):x}{self.serial:04x}",
-            "Req-Owner": "acme",
-            "Req-Deadline-Ms": str(deadline_ms),
-        }
-        if class_name == "hold":
-            headers["Idempotency-Key"] = "k1"
-        if class_name != "look":
-            headers["Content-Length"] = str(len(body))
-        headers.update({name.replace("_", "-"): value for name, value in changes.items()})
-        lines = [f"{'GET' if class_name == 'look' else 'POST'} /{class_name}/a?b=1 HTTP/1.1"]
-        lines += [f"{name}: {value}" for name, value in headers.items() if value]
-        self.writer.write("\r\n".join(lines).encode() + b"\r\n\r\n" + (body if class_name != "look" else b""))
-
-    async def answer(self) -> Message:
-        return await read_message(self.reader)
-
-    async def request(self, class_name: str = "pay", **values: Any) -> Message:
-        self.send(class_name, **values)
-        return await self.answer()
-
-
 class Sidecar:
-    """Host and server, on port 0, with fakes behind them."""
+    """A sidecar in service until the block ends, on a free port, with fake endpoints and a fake discovery.
+
+    Args:
+        endpoints: how many endpoints.
+        clients: the limit on clients' connections.
+        upstream: the limit on connections to endpoints.
+        held: the limit on bytes held for others.
+        timeouts: the limits on a client's time.
+        settings: changes to `SETTINGS`.
+    """
 
     def __init__(
         self,
@@ -234,6 +107,7 @@
         self.setup = {**SETTINGS, **settings}
 
     async def __aenter__(self) -> Sidecar:
+        """Start the fakes, and then the sidecar with a list of all endpoints."""
         self.discovery = await FakeServer().start()
         self.endpoints = [await FakeServer().start() for _ in range(self.count)]
         rows = [endpoint_row(f"s-{i}", fake.address) for i, fake in enumerate(self.endpoints)]
@@ -258,7 +132,7 @@
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        """Close everything."""
+        """Stop it all."""
         self.proxy.watch_discovery(False)
         self.sweep.cancel()
         self.watch.cancel()
@@ -297,11 +171,7 @@
 
     async def serve_one(self, client: Client, class_name: str = "pay", **values: Any) -> ReceivedRequest:
         """Send one request, have the first endpoint answer it, and return what the endpoint got."""
-        client.send(class_name, **values)
-        received = await self.endpoints[0].next_request()
-        received.reply()
-        assert (await client.answer()).status == 200
-        return received
+        return await serve_request(client, self.endpoints[0], class_name, **values)
 
     async def block_output(self, client: Client) -> ClientConnection:
         """Leave responses unread until the sidecar stops serving the client; returns its connection."""
@@ -328,25 +198,15 @@
             await asyncio.sleep(0.001)
 
 
-def start_program(tmp_path: Path, changes: dict[str, Any], **variables: str) -> subprocess.Popen[str]:
-    """The program as a process of its own, told by a file in `tmp_path` and by these variables."""
-    document = {"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "8c1f", **changes}
-    path = tmp_path / "config.json"
-    path.write_text(json.dumps(document), encoding="utf-8")
-    environ = {k: v for k, v in os.environ.items() if not k.startswith("GW_")}
-    return subprocess.Popen(
-        [sys.executable, "-m", "corkdoor.sidecar"],
-        env={**environ, "GW_CONFIG": str(path), **variables},
-        stderr=subprocess.PIPE,
-        text=True,
-    )
-
-
-async def succeeds(client: Client, endpoint: FakeServer, class_name: str = "pay", **values: Any) -> None:
-    """Send a request that this endpoint gets and answers, and check that the client has the answer."""
+async def serve_request(
+    client: Client, endpoint: FakeServer, class_name: str = "pay", **values: Any
+) -> ReceivedRequest:
+    """Send a request, have this endpoint answer it, and return what the endpoint got."""
     client.send(class_name, **values)
-    (await endpoint.next_request()).reply()
+    received = await endpoint.next_request()
+    received.reply()
     assert (await client.answer()).status == 200
+    return received
 
 
 async def send_first_attempt(sidecar: Sidecar, class_name: str = "pay") -> tuple[ReceivedRequest, Client]:
@@ -363,58 +223,3 @@
     for task in pending:
         task.cancel()
     return done.pop().result()
-
-
-async def readiness_status(client: Client) -> int:
-    client.writer.write(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
-    return (await client.answer()).status
-
-
-class SidecarProcess:
-    """The program in service as a process of its own, with one fake endpoint."""
-
-    def __init__(
-        self, process: subprocess.Popen[str], endpoint: FakeServer, address: tuple[str, int]
-    ) -> None:
-        self.process = process
-        self.endpoint = endpoint
-        self.address = address
-
-    async def client(self) -> Client:
-        return Client(*await asyncio.open_connection(*self.address))
-
-    async def line_with(self, text: str) -> None:
-        """Read its log up to a line with this text."""
-        assert self.process.stderr is not None
-        while text not in (line := await asyncio.to_thread(self.process.stderr.readline)):
-            assert line, "the log has ended"
-
-
-def free_port() -> int:
-    """A port that nobody has, below those that outgoing connections get: they would race for it."""
-    while True:
-        port = random.randrange(10_000, 30_000)
-        with contextlib.suppress(OSError), socket.create_server(("127.0.0.1", port)):
-            return port
-
-
-@contextlib.asynccontextmanager
-async def running_program(
-    tmp_path: Path, changes: dict[str, Any], **variables: str
-) -> AsyncIterator[SidecarProcess]:
-    endpoint = await FakeServer().start()
-    address = ("127.0.0.1", free_port())
-    document = {
-        "listen": f"127.0.0.1:{address[1]}",
-        "settings": SETTINGS,
-        "known": json.loads(endpoint_list(1, True, endpoint_row("s-0", endpoint.address))),
-        **changes,
-    }
-    process = start_program(tmp_path, document, **variables)
-    try:
-        running = SidecarProcess(process, endpoint, address)
-        await running.line_with("event=serving ")
-        yield running
-    finally:
-        process.kill()
-        process.communicate()
--- a/tests/test_alarms.py
+++ b/tests/test_alarms.py
@@ -5,9 +5,7 @@
 import asyncio
 
 from corkdoor.sidecar.clock import Alarm, now_us
-from tests.sidecar_support import (
-    run,
-)
+from tests.sidecar_support import run
 
 
 def test_alarms_never_go_off_early() -> None:
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -13,8 +13,10 @@
 from corkdoor.sidecar.clients.connection import ClientConnection
 from corkdoor.sidecar.clients.timeouts import ClientTimeouts
 from corkdoor.sidecar.clock import now_us
-from tests.sidecar_support import REQUEST_HEAD as HEAD
-from tests.sidecar_support import Client, Sidecar, readiness_status, running_program, wait_until
+from tests.sidecar_client import REQUEST_HEAD as HEAD
+from tests.sidecar_client import Client, readiness_status
+from tests.sidecar_process import running_program
+from tests.sidecar_support import Sidecar, wait_until
 
 
 async def test_client_that_leaves_cancels_the_attempt() -> None:
--- a/tests/test_client_departures.py
+++ b/tests/test_client_departures.py
@@ -14,7 +14,9 @@
 from corkdoor.sidecar.clients.backlog import MAX_WAITING_REQUESTS
 from corkdoor.sidecar.clients.timeouts import ClientTimeouts
 from corkdoor.sidecar.upstream.connection import Connection
-from tests.sidecar_support import SETTINGS, Client, Sidecar, first_request, read_message, wait_until
+from tests.http_messages import read_message
+from tests.sidecar_client import Client
+from tests.sidecar_support import SETTINGS, Sidecar, first_request, wait_until
 
 NEVER_MS = 3_000_000  # a deadline that is not reached within a test
 SLOW_CONNECT_US = 9_000_000
--- a/tests/test_client_requests.py
+++ b/tests/test_client_requests.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.sidecar_support import REQUEST_HEAD as HEAD
+from tests.sidecar_client import REQUEST_HEAD as HEAD
 from tests.sidecar_support import Sidecar
 
 CHUNKED = "Transfer-Encoding: chunked\r\n\r\n"
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -9,7 +9,9 @@
 
 import pytest
 
-from tests.sidecar_support import Client, FakeServer, Sidecar, endpoint_list, endpoint_row, run
+from tests.fake_server import FakeServer, endpoint_list, endpoint_row
+from tests.sidecar_client import Client
+from tests.sidecar_support import Sidecar, run
 
 ENDPOINTS = 6
 CLIENTS = 12
--- a/tests/test_config_ranges.py
+++ b/tests/test_config_ranges.py
@@ -8,7 +8,8 @@
 import pytest
 
 from corkdoor.settings_reader import read_settings
-from tests.sidecar_support import SETTINGS, start_program
+from tests.sidecar_process import start_program
+from tests.sidecar_support import SETTINGS
 
 
 def test_inner_layer_starts_without_the_names_of_tiers() -> None:
--- a/tests/test_crowded_discovery.py
+++ b/tests/test_crowded_discovery.py
@@ -31,7 +31,8 @@
 )
 from corkdoor.settings import LifecycleRules
 from emulator.crowded_discovery import Fleet, Scenario
-from tests.sidecar_support import Sidecar, endpoint_list, endpoint_row, run
+from tests.fake_server import endpoint_list, endpoint_row
+from tests.sidecar_support import Sidecar, run
 from tests.support import MS, RecordingHost, S, endpoints, settings
 
 WATCH_US = 3_500 * MS  # a watch is answered after so long
--- a/tests/test_discovery_address.py
+++ b/tests/test_discovery_address.py
@@ -10,7 +10,8 @@
 
 from corkdoor.policy.discovery.watch_timeout import FIRST_MS, MAX_MS
 from corkdoor.sidecar.config import Address
-from tests.sidecar_support import FakeServer, Sidecar, endpoint_list, endpoint_row, run
+from tests.fake_server import FakeServer, endpoint_list, endpoint_row
+from tests.sidecar_support import Sidecar, run
 
 
 def test_watch_at_a_new_address_begins_with_the_complete_list() -> None:
--- a/tests/test_draining.py
+++ b/tests/test_draining.py
@@ -13,7 +13,9 @@
 
 from corkdoor.sidecar import graceful_shutdown
 from corkdoor.sidecar.graceful_shutdown import ShutdownTimeouts, shut_down
-from tests.sidecar_support import Client, Sidecar, run, running_program
+from tests.sidecar_client import Client
+from tests.sidecar_process import running_program
+from tests.sidecar_support import Sidecar, run
 
 # Over soon; the last wait is ample for a slow machine, and ends when all clients have left.
 SHORT = ShutdownTimeouts(
--- a/tests/test_emulator_discovery.py
+++ b/tests/test_emulator_discovery.py
@@ -17,7 +17,8 @@
 from corkdoor.sidecar.discovery.endpoint_list import ResolvedEndpoint
 from corkdoor.sidecar.discovery.watcher import DiscoveryWatcher
 from emulator.discovery import LOG_KEPT, Cost, DiscoveryServer, Registry, SerialQueue, read_call
-from tests.sidecar_support import endpoint_row, run
+from tests.fake_server import endpoint_row
+from tests.sidecar_support import run
 
 FREE = Cost(call_us=0, byte_ns=0)
 
--- a/tests/test_emulator_slopes.py
+++ b/tests/test_emulator_slopes.py
@@ -30,7 +30,8 @@
     summed,
     table,
 )
-from tests.sidecar_support import read_message, run
+from tests.http_messages import read_message
+from tests.sidecar_support import run
 
 SMOKE = Scale((5, 10, 20, 40), (20.0, 40.0), 0.4, 1, (0, 10, 20, 40), (0.0, 20.0, 40.0), 0.05)
 NUMBERS = st.floats(-1e3, 1e3).map(lambda x: round(x, 3))
--- a/tests/test_emulator_standins.py
+++ b/tests/test_emulator_standins.py
@@ -15,7 +15,8 @@
 from emulator.endpoint import Change, Count, Endpoint, Endpoints, Kind, Open, Release
 from emulator.sidecar import Sidecar, SidecarError, free_port
 from emulator.worker import Worker, WorkerError
-from tests.sidecar_support import Message, read_message, run
+from tests.http_messages import Message, read_message
+from tests.sidecar_support import run
 
 
 @contextlib.asynccontextmanager
--- a/tests/test_endpoint_updates.py
+++ b/tests/test_endpoint_updates.py
@@ -13,16 +13,9 @@
 from corkdoor.sidecar.clock import now_us
 from corkdoor.sidecar.discovery.endpoint_list import read_endpoint_list
 from corkdoor.sidecar.proxied_request import ProxiedRequest
-from tests.sidecar_support import (
-    SETTINGS,
-    FakeServer,
-    Sidecar,
-    endpoint_list,
-    endpoint_row,
-    readiness_status,
-    run,
-    succeeds,
-)
+from tests.fake_server import FakeServer, endpoint_list, endpoint_row
+from tests.sidecar_client import readiness_status
+from tests.sidecar_support import SETTINGS, Sidecar, run, serve_request
 
 
 class InProcessClient:
@@ -93,7 +86,7 @@
             assert time.monotonic() - begun > 0.2  # no tight loop
             assert again.message.first.startswith("GET /discovery/hosts?after=1&")
             client = await sidecar.client()
-            await succeeds(client, sidecar.endpoints[0])
+            await serve_request(client, sidecar.endpoints[0])
 
     run(test())
 
--- a/tests/test_failing_system_calls.py
+++ b/tests/test_failing_system_calls.py
@@ -15,7 +15,8 @@
 import pytest
 
 from faults.preload import SHORT, Call, FaultControl, build
-from tests.sidecar_support import FakeServer, SidecarProcess, endpoint_list, endpoint_row, running_program
+from tests.fake_server import FakeServer, endpoint_list, endpoint_row
+from tests.sidecar_process import SidecarProcess, running_program
 
 ANSWER = b"x" * 3000
 
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -9,11 +9,7 @@
 
 from corkdoor.sidecar import proxied_request
 from corkdoor.sidecar.lifecycle import ProcessState
-from tests.sidecar_support import (
-    Sidecar,
-    run,
-    succeeds,
-)
+from tests.sidecar_support import Sidecar, run, serve_request
 
 
 def test_request_and_answer_pass_unchanged() -> None:
@@ -113,7 +109,7 @@
                 if event == "on_attempt_end":
                     (await sidecar.endpoints[0].next_request()).reply(500)
                 assert (await client.answer()).status == 500
-            await succeeds(client, sidecar.endpoints[0])
+            await serve_request(client, sidecar.endpoints[0])
             assert not sidecar.proxy.requests
 
     run(test())
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -16,7 +16,8 @@
 from corkdoor.sidecar.upstream.attempt import Attempt
 from corkdoor.sidecar.upstream.connection import Connection
 from corkdoor.sidecar.upstream.pool import EndpointPool
-from tests.sidecar_support import FakeServer, Sidecar, endpoint_row, run
+from tests.fake_server import FakeServer, endpoint_row
+from tests.sidecar_support import Sidecar, run
 
 COUNTED = (Alarm, Attempt, ClientConnection, Connection, EndpointPool, ProxiedRequest)
 
--- a/tests/test_idle_client_flood.py
+++ b/tests/test_idle_client_flood.py
@@ -11,15 +11,10 @@
 
 import pytest
 
-from tests.sidecar_support import (
-    SETTINGS,
-    Client,
-    FakeServer,
-    SidecarProcess,
-    endpoint_list,
-    endpoint_row,
-    running_program,
-)
+from tests.fake_server import FakeServer, endpoint_list, endpoint_row
+from tests.sidecar_client import Client
+from tests.sidecar_process import SidecarProcess, running_program
+from tests.sidecar_support import SETTINGS
 
 SOCKETS = 256
 INITIAL_CLIENTS = 200  # idle clients at the start, and then a hundred a second
--- a/tests/test_list_freshness.py
+++ b/tests/test_list_freshness.py
@@ -16,7 +16,8 @@
 from corkdoor.settings import LifecycleRules
 from corkdoor.sidecar.invariants import Invariant
 from corkdoor.sidecar.status_report import status_line
-from tests.sidecar_support import Sidecar, endpoint_list, endpoint_row, run
+from tests.fake_server import endpoint_list, endpoint_row
+from tests.sidecar_support import Sidecar, run
 from tests.support import MS, S, settings
 
 GRACE_US = 1_500 * MS
--- a/tests/test_non_idempotent_requests.py
+++ b/tests/test_non_idempotent_requests.py
@@ -8,15 +8,8 @@
 import pytest
 
 from corkdoor.sidecar.upstream.connection import Connection
-from tests.sidecar_support import (
-    SETTINGS,
-    ReceivedRequest,
-    Sidecar,
-    endpoint_row,
-    first_request,
-    send_first_attempt,
-    wait_until,
-)
+from tests.fake_server import ReceivedRequest, endpoint_row
+from tests.sidecar_support import SETTINGS, Sidecar, first_request, send_first_attempt, wait_until
 
 ALLOWED = {**SETTINGS["Allowed"], "SecondCopies": True, "ConnectTimeoutUs": 100_000}
 
--- a/tests/test_overload_in_service.py
+++ b/tests/test_overload_in_service.py
@@ -18,7 +18,9 @@
 from corkdoor.sidecar.clients.timeouts import ClientTimeouts
 from corkdoor.sidecar.clock import now_us
 from corkdoor.sidecar.upstream import attempt, connection, manager, pool
-from tests.sidecar_support import Client, ReceivedRequest, Sidecar
+from tests.fake_server import ReceivedRequest
+from tests.sidecar_client import Client
+from tests.sidecar_support import Sidecar
 
 # A slow machine may check clients before they are in use, and would close them by the test's clock.
 PATIENT = ClientTimeouts(first_request_s=3600.0, idle_s=3600.0)
--- a/tests/test_pipelining.py
+++ b/tests/test_pipelining.py
@@ -11,7 +11,8 @@
 
 from corkdoor.sidecar.clients.backlog import MAX_WAITING_REQUESTS, PARSE_CHUNK_BYTES
 from corkdoor.sidecar.clients.timeouts import ClientTimeouts
-from tests.sidecar_support import Client, Sidecar, wait_until
+from tests.sidecar_client import Client
+from tests.sidecar_support import Sidecar, wait_until
 
 LONG_MS = 60_000
 SLACK_MS = 150  # that an endpoint may be told more than the client has left
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -15,15 +15,9 @@
 from corkdoor.sidecar.event_loop_lag import log_event_loop_lag
 from corkdoor.sidecar.log_limits import MAX_LINES_PER_S, LineRateFilter
 from corkdoor.sidecar.status_report import status_line
-from tests.sidecar_support import (
-    SETTINGS,
-    Sidecar,
-    readiness_status,
-    run,
-    running_program,
-    start_program,
-    succeeds,
-)
+from tests.sidecar_client import readiness_status
+from tests.sidecar_process import running_program, start_program
+from tests.sidecar_support import SETTINGS, Sidecar, run, serve_request
 
 
 def test_lag_of_the_loop_is_logged(caplog: pytest.LogCaptureFixture) -> None:
@@ -111,7 +105,7 @@
         async with Sidecar() as sidecar:
             client = await sidecar.client()
             for _ in range(2):
-                await succeeds(client, sidecar.endpoints[0], "pay")
+                await serve_request(client, sidecar.endpoints[0], "pay")
             line = status_line(sidecar.proxy, 1, 500)
             assert line.startswith("event=status clients=1 max_clients=500 settings=")
             counted = "attempts_ok=2 responses_200=2 watch_events_cached=1"
--- a/tests/test_process_reload.py
+++ b/tests/test_process_reload.py
@@ -13,19 +13,11 @@
 import pytest
 
 from corkdoor.sidecar.config import load
+from tests.fake_server import FakeServer, endpoint_list, endpoint_row
 from tests.reload_support import HOLD, LOOK, PAY
-from tests.sidecar_support import (
-    SETTINGS,
-    Client,
-    FakeServer,
-    SidecarProcess,
-    endpoint_list,
-    endpoint_row,
-    readiness_status,
-    run,
-    running_program,
-    succeeds,
-)
+from tests.sidecar_client import Client, readiness_status
+from tests.sidecar_process import SidecarProcess, running_program
+from tests.sidecar_support import SETTINGS, run, serve_request
 
 
 def write_settings(tmp_path: Path, **settings: Any) -> str:
@@ -97,7 +89,7 @@
             send_sighup(running)
             await running.line_with(f" settings={digest} ")
             client = await running.client()
-            await succeeds(client, running.endpoint, "new")
+            await serve_request(client, running.endpoint, "new")
             client = await running.client()
             assert (await client.request("look")).status == 404
 
@@ -114,11 +106,11 @@
             send_sighup(running)
             await running.line_with("event=config_rejected key=GW_CONFIG ")
             client = await running.client()
-            await succeeds(client, running.endpoint, "pay")
+            await serve_request(client, running.endpoint, "pay")
             file.write_text(whole, encoding="utf-8")
             send_sighup(running)
             await running.line_with(f"event=config_reloaded changed=True settings={digest} ")
-            await succeeds(client, running.endpoint, "new")
+            await serve_request(client, running.endpoint, "new")
 
     run(test())
 
@@ -147,7 +139,7 @@
             send_sighup(running)
             await running.line_with(f'event=config_rejected key={key} reason="{reason}')
             client = await running.client()
-            await succeeds(client, running.endpoint, "pay")
+            await serve_request(client, running.endpoint, "pay")
 
     run(test())
 
--- a/tests/test_reload_limits.py
+++ b/tests/test_reload_limits.py
@@ -10,19 +10,14 @@
 from corkdoor.sidecar.upstream.connection import Connection
 from corkdoor.sidecar.upstream.manager import PoolManager
 from tests.reload_support import reload
-from tests.sidecar_support import (
-    SETTINGS,
-    Sidecar,
-    run,
-    succeeds,
-)
+from tests.sidecar_support import SETTINGS, Sidecar, run, serve_request
 
 
 def test_idle_timeout_in_force_is_that_of_the_reload() -> None:
     async def test() -> None:
         async with Sidecar() as sidecar:
             client = await sidecar.client()
-            await succeeds(client, sidecar.endpoints[0])
+            await serve_request(client, sidecar.endpoints[0])
             reload(sidecar, Allowed={**SETTINGS["Allowed"], "ConnIdleUs": 20_000})
             assert await sidecar.endpoints[0].ends.get() == 0
             assert sidecar.proxy.balancer.rules.idle_connections.closed_after_us == 20_000
@@ -73,7 +68,7 @@
                 await asyncio.sleep(0.001)
             reload(sidecar, resource_limits=ResourceLimits(6, 400, 1 << 24))
             more = await sidecar.client()
-            await succeeds(more, sidecar.endpoints[0])
+            await serve_request(more, sidecar.endpoints[0])
 
     run(test())
 
@@ -83,13 +78,13 @@
         async with Sidecar() as sidecar:
             clients = [await sidecar.client() for _ in range(4)]
             for client in clients:
-                await succeeds(client, sidecar.endpoints[0])
+                await serve_request(client, sidecar.endpoints[0])
             sidecar.server.clients.evictable_idle_s = 3600.0  # all have been in use just now
             reload(sidecar, resource_limits=ResourceLimits(2, 400, 1 << 24))
             assert len(sidecar.server.clients) == 4
             sidecar.server.clients.evictable_idle_s = 0.0
             late = await sidecar.client()
-            await succeeds(late, sidecar.endpoints[0])
+            await serve_request(late, sidecar.endpoints[0])
             assert len(sidecar.server.clients) == 2
 
     run(test())
--- a/tests/test_settings_reload.py
+++ b/tests/test_settings_reload.py
@@ -14,14 +14,9 @@
 from corkdoor.sidecar.config import ConfigError, load
 from corkdoor.sidecar.resource_limits import ResourceLimits
 from corkdoor.sidecar.status_report import status_line
+from tests.fake_server import endpoint_list
 from tests.reload_support import HOLD, LOOK, NEW, PAY, changed, reload, without_pay
-from tests.sidecar_support import (
-    SETTINGS,
-    Sidecar,
-    endpoint_list,
-    run,
-    succeeds,
-)
+from tests.sidecar_support import SETTINGS, Sidecar, run, serve_request
 
 
 def test_requests_that_are_open_over_twenty_reloads_are_answered_once_on_their_connections() -> None:
@@ -97,7 +92,7 @@
             assert (await client.answer()).status == 400
             reload(sidecar, Categories=[LOOK, {**PAY, "Name": "new"}], Parties=[{"Name": "zeta"}])
             client = await sidecar.client()
-            await succeeds(client, sidecar.endpoints[0], "new", Req_Owner="zeta")
+            await serve_request(client, sidecar.endpoints[0], "new", Req_Owner="zeta")
             client.send("look", Req_Owner="acme")
             assert (await client.answer()).status == 400
 
@@ -188,7 +183,7 @@
             assert (sidecar.server.clients.limit, sidecar.proxy.upstream.max_connections) == (500, 400)
             assert sidecar.proxy.watcher.port == before[0].discovery.port
             client = await sidecar.client()
-            await succeeds(client, sidecar.endpoints[0])
+            await serve_request(client, sidecar.endpoints[0])
 
     run(test())
 
--- a/tests/test_stalled_clients.py
+++ b/tests/test_stalled_clients.py
@@ -9,7 +9,8 @@
 import pytest
 
 from corkdoor.sidecar.clients.timeouts import ClientTimeouts
-from tests.sidecar_support import SETTINGS, Client, Sidecar
+from tests.sidecar_client import Client
+from tests.sidecar_support import SETTINGS, Sidecar
 
 ALLOWED_S = 3.0  # bad clients get their error or close within so long
 HEAD = b"POST /pay/a HTTP/1.1\r\nHost: a\r\nReq-Id: stalls\r\nReq-Owner: acme\r\nReq-Deadline-Ms: 9000\r\n"
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -15,18 +15,10 @@
 
 import pytest
 
-from tests.sidecar_support import (
-    SETTINGS,
-    Client,
-    FakeServer,
-    SidecarProcess,
-    endpoint_list,
-    endpoint_row,
-    free_port,
-    readiness_status,
-    run,
-    running_program,
-)
+from tests.fake_server import FakeServer, endpoint_list, endpoint_row
+from tests.sidecar_client import Client, readiness_status
+from tests.sidecar_process import SidecarProcess, free_port, running_program
+from tests.sidecar_support import SETTINGS, run
 
 ROOT = Path(__file__).parent.parent
 
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -20,15 +20,8 @@
 from corkdoor.sidecar.upstream.attempt import Attempt
 from corkdoor.sidecar.upstream.manager import PoolLimits, PoolManager
 from corkdoor.sidecar.upstream.response import Response
-from tests.sidecar_support import (
-    SETTINGS,
-    Sidecar,
-    endpoint_list,
-    endpoint_row,
-    first_request,
-    run,
-    send_first_attempt,
-)
+from tests.fake_server import endpoint_list, endpoint_row
+from tests.sidecar_support import SETTINGS, Sidecar, first_request, run, send_first_attempt
 
 HERE = Location("a", 0)
 
--- a/tests/test_watching.py
+++ b/tests/test_watching.py
@@ -27,7 +27,9 @@
 from corkdoor.sidecar.config import Address
 from corkdoor.sidecar.discovery import client as discovery_client
 from corkdoor.sidecar.transport.connector import connect
-from tests.sidecar_support import Sidecar, endpoint_list, endpoint_row, read_message, run
+from tests.fake_server import endpoint_list, endpoint_row
+from tests.http_messages import read_message
+from tests.sidecar_support import Sidecar, run
 from tests.support import RecordingHost, S, settings
 
 
