--- /dev/null
+++ b/tests/test_transport.py
@@ -0,0 +1,168 @@
+"""A stream transport on a pair of connected sockets: buffering, pausing, ending, and momentary errors."""
+
+from __future__ import annotations
+
+import asyncio
+import errno
+import socket
+from collections.abc import Callable, Iterator
+from typing import Any
+
+import pytest
+
+from corkdoor.sidecar.transport.stream import StreamTransport
+from tests.sidecar_support import wait_until
+
+LARGE = b"x" * 8_000_000  # more than the kernel takes at once
+
+
+class RecordingProtocol:
+    """Keeps what the transport calls it with."""
+
+    def __init__(self) -> None:
+        self.received = b""
+        self.calls: list[str] = []
+
+    def connection_made(self, transport: StreamTransport) -> None:
+        self.transport = transport
+
+    def data_received(self, data: bytes) -> None:
+        self.received += data
+
+    def eof_received(self) -> bool:
+        self.calls.append("eof_received")
+        return False
+
+    def pause_writing(self) -> None:
+        self.calls.append("pause_writing")
+
+    def resume_writing(self) -> None:
+        self.calls.append("resume_writing")
+
+    def connection_lost(self, error: Exception | None) -> None:
+        self.calls.append(f"connection_lost {type(error).__name__}")
+
+
+@pytest.fixture
+def peers() -> Iterator[tuple[socket.socket, socket.socket]]:
+    """Two connected sockets: one for the transport, one for the peer; neither blocks."""
+    with socket.create_server(("127.0.0.1", 0)) as listener:
+        peer = socket.create_connection(listener.getsockname())
+        own, _ = listener.accept()
+    own.setblocking(False)
+    peer.setblocking(False)
+    yield own, peer
+    own.close()
+    peer.close()
+
+
+def connect_protocol(own: socket.socket) -> RecordingProtocol:
+    """A protocol with a transport on this socket."""
+    protocol = RecordingProtocol()
+    StreamTransport(asyncio.get_running_loop(), own, protocol)
+    return protocol
+
+
+async def read_all(peer: socket.socket) -> bytes:
+    """What the peer gets up to the end of the output."""
+    loop, data = asyncio.get_running_loop(), b""
+    while part := await loop.sock_recv(peer, 1 << 20):
+        data += part
+    return data
+
+
+class FailingOnce:
+    """A call that fails once for want of memory, and then works."""
+
+    def __init__(self, call: Callable[..., Any]) -> None:
+        self.call = call
+        self.failures = 0
+
+    def __call__(self, *values: Any) -> Any:
+        if not self.failures:
+            self.failures += 1
+            raise OSError(errno.ENOMEM, "no memory")
+        return self.call(*values)
+
+
+class FailingLoop:
+    """The running loop, but for the first call of one method."""
+
+    def __init__(self, method: str) -> None:
+        loop = asyncio.get_running_loop()
+        self.loop = loop
+        self.failing = FailingOnce(getattr(loop, method))
+        setattr(self, method, self.failing)
+
+    def __getattr__(self, name: str) -> Any:
+        return getattr(self.loop, name)
+
+
+async def test_close_sends_what_is_buffered(peers: tuple[socket.socket, socket.socket]) -> None:
+    own, peer = peers
+    protocol = connect_protocol(own)
+    protocol.transport.write(LARGE)
+    assert protocol.transport.buffered_bytes() > 0
+    assert protocol.calls == ["pause_writing"]
+    protocol.transport.close()
+    protocol.transport.write(b"dropped: it is closing")
+    assert await read_all(peer) == LARGE
+    await wait_until(lambda: "connection_lost NoneType" in protocol.calls)
+    assert protocol.calls == ["pause_writing", "resume_writing", "connection_lost NoneType"]
+
+
+async def test_abort_drops_what_is_buffered(peers: tuple[socket.socket, socket.socket]) -> None:
+    own, peer = peers
+    protocol = connect_protocol(own)
+    protocol.transport.write(LARGE)
+    protocol.transport.abort()
+    assert own.fileno() == -1  # the descriptor is given back at once
+    assert protocol.calls == ["pause_writing"]  # and the protocol told later
+    await wait_until(lambda: "connection_lost NoneType" in protocol.calls)
+    assert len(await read_all(peer)) < len(LARGE)
+
+
+async def test_end_of_output_follows_what_is_buffered_and_input_goes_on(
+    peers: tuple[socket.socket, socket.socket],
+) -> None:
+    own, peer = peers
+    protocol = connect_protocol(own)
+    protocol.transport.write(LARGE)
+    protocol.transport.write_eof()
+    assert await read_all(peer) == LARGE
+    peer.sendall(b"still read")
+    await wait_until(lambda: protocol.received == b"still read")
+    assert not protocol.transport.is_closing()
+
+
+async def test_paused_transport_leaves_input_in_the_kernel(
+    peers: tuple[socket.socket, socket.socket],
+) -> None:
+    own, peer = peers
+    protocol = connect_protocol(own)
+    protocol.transport.pause_reading()
+    peer.sendall(b"later")
+    await wait_until(protocol.transport.has_input)
+    await asyncio.sleep(0.02)
+    assert protocol.received == b""
+    peer.shutdown(socket.SHUT_WR)
+    await wait_until(protocol.transport.peer_closed)
+    protocol.transport.resume_reading()
+    await wait_until(lambda: "connection_lost NoneType" in protocol.calls)
+    assert (protocol.received, protocol.calls[0]) == (b"later", "eof_received")
+
+
+@pytest.mark.parametrize("method", ["add_reader", "add_writer"])
+async def test_watch_that_fails_for_want_of_memory_is_retried(
+    method: str, peers: tuple[socket.socket, socket.socket]
+) -> None:
+    own, peer = peers
+    loop, protocol = FailingLoop(method), RecordingProtocol()
+    StreamTransport(loop, own, protocol)  # type: ignore[arg-type]
+    protocol.transport.write(LARGE)
+    peer.sendall(b"input")
+    protocol.transport.write_eof()
+    assert await read_all(peer) == LARGE
+    await wait_until(lambda: protocol.received == b"input")
+    assert loop.failing.failures == 1
+    protocol.transport.abort()
