--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -1,4 +1,4 @@
-"""Wall clocks that are wrong or set: starts of endpoints are told in Unix time."""
+"""Wall clocks that are wrong or set: lists state the starts of endpoints in Unix time."""
 
 from __future__ import annotations
 
@@ -13,8 +13,10 @@
 
 ENDPOINTS = 6
 CLIENTS = 12
-CALLS_EACH = 20
-COLD_MOST = CLIENTS * CALLS_EACH // ENDPOINTS // 4  # a quarter of an even share, most of it for chance
+REQUESTS_EACH = 20
+MAX_WHILE_WARMING_UP = (
+    CLIENTS * REQUESTS_EACH // ENDPOINTS // 4
+)  # a quarter of an even share, most of it for chance
 HOUR_MS = 3_600_000
 RULES = {"ColdUs": 6_000_000, "ColdFrom": 0.1, "OverloadFactor": 2.0, "FallUs": 1_000_000}
 
@@ -26,21 +28,21 @@
         asked.reply()
 
 
-async def ask_often(client: Client) -> None:
-    for _ in range(CALLS_EACH):
+async def send_often(client: Client) -> None:
+    for _ in range(REQUESTS_EACH):
         assert (await client.ask("look")).status == 200
 
 
-async def calls_by_endpoint(sidecar: Sidecar, *news: bytes) -> Counter[str]:
-    """Let discovery tell this, one answer after the other, and count where the calls after it go."""
-    heard = sidecar.proxy.balancer.endpoints
-    for answer in news:
+async def requests_by_endpoint(sidecar: Sidecar, *lists: bytes) -> Counter[str]:
+    """Send these lists, one after the other, and count the endpoints of the requests after them."""
+    known = sidecar.proxy.balancer.endpoints
+    for answer in lists:
         (await sidecar.discovery.next()).reply(200, answer)
-    await sidecar.discovery.next()  # the next watch: all news has been taken in
-    assert len(heard) == ENDPOINTS
+    await sidecar.discovery.next()  # the next watch: all lists have been applied
+    assert len(known) == ENDPOINTS
     got: Counter[str] = Counter()
     served = [asyncio.create_task(serve(fake, f"s-{i}", got)) for i, fake in enumerate(sidecar.endpoints)]
-    await asyncio.gather(*[ask_often(await sidecar.client()) for _ in range(CLIENTS)])
+    await asyncio.gather(*[send_often(await sidecar.client()) for _ in range(CLIENTS)])
     for task in served:
         task.cancel()
     return got
@@ -52,35 +54,37 @@
 
 @pytest.mark.parametrize("offset_ms", [-HOUR_MS, -HOUR_MS // 600, HOUR_MS])
 @pytest.mark.parametrize("known_before", [False, True])
-def test_just_started_endpoint_is_cold_whatever_the_stamps_are_off_by(
+def test_started_endpoint_warms_up_whatever_its_timestamp_is_off_by(
     offset_ms: int, known_before: bool
 ) -> None:
-    """A new endpoint, or one with a new stamp, started after the last list that did not have it."""
+    """A new endpoint, or one with a new timestamp, started after the last list without it."""
 
     async def test() -> None:
         async with Sidecar(endpoints=ENDPOINTS, Rules=RULES) as sidecar:
             *others, last = rows(sidecar)
             before = [*others, last] if known_before else others
             last_started = {**last, "startedAtMs": time.time_ns() // 1_000_000 + offset_ms}
-            got = await calls_by_endpoint(sidecar, listing(2, True, *before), listing(3, False, last_started))
-            assert got.total() == CLIENTS * CALLS_EACH
-            assert got["s-5"] <= COLD_MOST
+            got = await requests_by_endpoint(
+                sidecar, listing(2, True, *before), listing(3, False, last_started)
+            )
+            assert got.total() == CLIENTS * REQUESTS_EACH
+            assert got["s-5"] <= MAX_WHILE_WARMING_UP
 
     run(test(), 30.0)
 
 
-def test_endpoint_with_a_stamp_ahead_of_the_clock_warms_up_in_its_time() -> None:
-    """None starts in the future: an hour ahead, it would stay cold for an hour."""
+def test_endpoint_with_a_timestamp_in_the_future_warms_up_in_its_time() -> None:
+    """Guards against an endpoint that stays in slow start for as long as its clock is ahead."""
 
     async def test() -> None:
         async with Sidecar(endpoints=ENDPOINTS, Rules={**RULES, "ColdUs": 300_000}) as sidecar:
             *others, last = rows(sidecar)
             ahead = {**last, "startedAtMs": time.time_ns() // 1_000_000 + HOUR_MS}
-            news = (listing(2, True, *others), listing(3, False, ahead))
-            await calls_by_endpoint(sidecar, *news)
-            told = sidecar.proxy.balancer.endpoints["s-5"]
+            lists = (listing(2, True, *others), listing(3, False, ahead))
+            await requests_by_endpoint(sidecar, *lists)
+            endpoint = sidecar.proxy.balancer.endpoints["s-5"]
             while (
-                sidecar.proxy.balancer.rules.slow_start.capacity_share(time.monotonic_ns() // 1000, told)
+                sidecar.proxy.balancer.rules.slow_start.capacity_share(time.monotonic_ns() // 1000, endpoint)
                 < 1.0
             ):
                 await asyncio.sleep(0.05)
@@ -88,19 +92,19 @@
     run(test(), 8.0)
 
 
-def test_endpoint_that_returns_with_its_old_stamp_is_no_new_one() -> None:
-    """It was only missing from a list: nothing tells of a start."""
+def test_endpoint_that_returns_with_its_old_timestamp_is_not_warming_up() -> None:
+    """It was only missing from a list, and has not started again."""
 
     async def test() -> None:
         async with Sidecar(endpoints=ENDPOINTS, Rules=RULES) as sidecar:
             *others, last = rows(sidecar)
             old = {**last, "startedAtMs": time.time_ns() // 1_000_000 - HOUR_MS}
-            news = (
+            lists = (
                 listing(2, True, *others, old),
                 listing(3, True, *others),
                 listing(4, False, old),
             )
-            got = await calls_by_endpoint(sidecar, *news)
-            assert got["s-5"] > COLD_MOST
+            got = await requests_by_endpoint(sidecar, *lists)
+            assert got["s-5"] > MAX_WHILE_WARMING_UP
 
     run(test(), 30.0)
--- a/tests/test_endpoint_updates.py
+++ b/tests/test_endpoint_updates.py
@@ -163,3 +163,10 @@
     assert first.readiness is Readiness.READY
     long_ago = json.loads(listing(1, True, row("s-0", "127.0.0.1:80")))
     assert read_endpoint_list(long_ago).entries[0].endpoint.started_us == 0
+
+
+@pytest.mark.parametrize("port", [0, 65_536])
+def test_list_with_an_impossible_port_is_rejected(port: int) -> None:
+    document = json.loads(listing(2, True, row("s-0", f"127.0.0.1:{port}")))
+    with pytest.raises(ValueError, match="hostPort"):
+        read_endpoint_list(document)
--- a/tests/test_draining.py
+++ b/tests/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""The end of a sidecar: all that it has taken by then is answered, and nothing is begun for nobody."""
+"""The graceful shutdown: all that was accepted is answered, and nothing is forwarded for nobody."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 )
 
 
-class At(logging.Handler):
-    """Does something at the moment at which a line is logged, before the loop turns again."""
+class ActOnLog(logging.Handler):
+    """Acts at the moment at which a line is logged, before the loop turns again."""
 
     def __init__(self, text: str, act: Callable[[], None]) -> None:
         super().__init__()
@@ -35,9 +35,9 @@
 
 
 @pytest.fixture
-def at(caplog: pytest.LogCaptureFixture) -> Callable[[str, Callable[[], None]], None]:
+def on_log(caplog: pytest.LogCaptureFixture) -> Callable[[str, Callable[[], None]], None]:
     caplog.set_level(logging.INFO)
-    return lambda text, act: graceful_shutdown.log.addHandler(At(text, act))
+    return lambda text, act: graceful_shutdown.log.addHandler(ActOnLog(text, act))
 
 
 @pytest.fixture(autouse=True)
@@ -51,10 +51,10 @@
 )
 
 
-def test_connections_that_nobody_has_accepted_yet_are_served(
-    at: Callable[[str, Callable[[], None]], None],
+def test_connections_that_wait_to_be_accepted_are_served(
+    on_log: Callable[[str, Callable[[], None]], None],
 ) -> None:
-    """The kernel has accepted them, so what they ask is taken: closing the listener would reset them."""
+    """Guards against closing the listener too early, which would reset them."""
 
     async def test() -> None:
         async with Sidecar() as sidecar:
@@ -65,7 +65,7 @@
                     callers.append(socket.create_connection(("127.0.0.1", sidecar.port)))
                     callers[-1].sendall(REQUEST % i)
 
-            at("event=shutdown_closing clients=0 ", connect)
+            on_log("event=shutdown_closing clients=0 ", connect)
             drain = asyncio.create_task(shut_down(sidecar.server, sidecar.proxy, SHORT))
             for _ in range(3):
                 (await sidecar.endpoints[0].next()).reply()
@@ -77,7 +77,7 @@
     run(test())
 
 
-def test_requests_that_wait_behind_one_that_ends_are_turned_away_unsent() -> None:
+def test_requests_that_wait_behind_another_are_rejected_unsent() -> None:
     async def test() -> None:
         async with Sidecar() as sidecar:
             client = await sidecar.client()
@@ -96,8 +96,8 @@
     run(test())
 
 
-def test_request_that_has_come_in_part_is_turned_away() -> None:
-    """Its last byte may come in the last moment: it would be taken then, and never answered."""
+def test_request_that_has_come_in_part_is_rejected() -> None:
+    """Guards against a last byte that comes too late for an answer."""
 
     async def test() -> None:
         async with Sidecar() as sidecar:
@@ -115,10 +115,10 @@
     run(test())
 
 
-def test_request_that_comes_as_the_process_ends_is_turned_away_unsent(
-    at: Callable[[str, Callable[[], None]], None],
+def test_request_that_comes_at_the_end_is_rejected_unsent(
+    on_log: Callable[[str, Callable[[], None]], None],
 ) -> None:
-    """Seen in the code: it was sent on, and the process ended before its answer."""
+    """Guards against forwarding what can't be answered any more."""
 
     async def test() -> None:
         async with Sidecar() as sidecar:
@@ -128,7 +128,7 @@
             late.sendall(REQUEST[:-1] % 1)
             while not any(caller.is_receiving for caller in sidecar.server.clients):
                 await asyncio.sleep(0.01)
-            at("event=shutdown_rejecting ", lambda: late.sendall(b"x" + REQUEST % 2))
+            on_log("event=shutdown_rejecting ", lambda: late.sendall(b"x" + REQUEST % 2))
             await shut_down(sidecar.server, sidecar.proxy, SHORT)
             client = Client(*await asyncio.open_connection(sock=late))
             assert (await client.answer()).status == 503
@@ -138,8 +138,8 @@
     run(test())
 
 
-def test_reloads_asked_for_while_the_process_ends_do_not_change_how_it_ends(tmp_path: Path) -> None:
-    """The loop gives its signals back on its way out, and SIGHUP would then end the process."""
+def test_reloads_during_the_shutdown_do_not_change_the_exit_status(tmp_path: Path) -> None:
+    """Guards against SIGHUP after the loop has restored its default, which ends the process."""
 
     async def test() -> None:
         async with program(tmp_path, {}) as running:
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -1,4 +1,4 @@
-"""The guards: what they let through, what they leave out, and that a broken invariant is counted and told."""
+"""The guards of sending and closing: what they leave out, and what they count and log."""
 
 from __future__ import annotations
 
@@ -7,75 +7,14 @@
 
 import pytest
 
-from corkdoor.model import DeduplicationScope, Idempotency, Outcome
-from corkdoor.settings import Limits, RequestClass
 from corkdoor.sidecar.clients.close_reason import CloseReason
 from corkdoor.sidecar.invariants import Invariant, InvariantLog
-from corkdoor.sidecar.resend_guard import MAX_SEND_DELAY_US, Location, SentAttempt, may_send_again
 from tests.sidecar_support import Sidecar, first_asked, one_attempt, run
 
-S = 1_000_000
-WINDOW_US = 2 * S
-HERE, SAME_ZONE, ELSEWHERE = Location("a", 1), Location("a", 2), Location("b", 3)
-SAFE = RequestClass("look", S, 3 * S, Idempotency.IDEMPOTENT)
-UNSAFE = RequestClass("pay", S, 3 * S, Idempotency.NOT_IDEMPOTENT)
 
-
-def keyed(deduplication_scope: DeduplicationScope) -> RequestClass:
-    return RequestClass("hold", S, 3 * S, Idempotency.WITH_KEY, deduplication_scope, WINDOW_US)
-
-
-def ended(outcome: Outcome | None, at_us: int = 10 * S, location: Location = HERE) -> SentAttempt:
-    return SentAttempt(at_us, location, outcome)
-
-
-ONE_AT_A_TIME = Limits(hedging_allowed=False)
-COPIES = Limits(hedging_allowed=True)
-
-
-@pytest.mark.parametrize("outcome", list(Outcome))
-def test_unsafe_request_is_repeated_only_where_it_surely_never_ran(outcome: Outcome) -> None:
-    never_ran = outcome in (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
-    assert may_send_again(UNSAFE, COPIES, [ended(outcome)], HERE, 10 * S) is never_ran
-
-
-@pytest.mark.parametrize(
-    ("class_name", "limits", "allowed"),
-    [
-        (SAFE, COPIES, True),
-        (SAFE, ONE_AT_A_TIME, False),
-        (UNSAFE, COPIES, False),
-        (UNSAFE, ONE_AT_A_TIME, False),
-    ],
-)
-def test_second_attempt_beside_one_that_is_out(
-    class_name: RequestClass, limits: Limits, allowed: bool
+def test_broken_and_prevented_invariants_are_counted_apart_and_logged(
+    caplog: pytest.LogCaptureFixture,
 ) -> None:
-    assert may_send_again(class_name, limits, [ended(None)], HERE, 10 * S) is allowed
-
-
-@pytest.mark.parametrize("deduplication_scope", list(DeduplicationScope))
-def test_keyed_request_stays_in_its_window_and_group(deduplication_scope: DeduplicationScope) -> None:
-    first = [ended(Outcome.TIMEOUT)]
-    last_us = 10 * S + WINDOW_US - MAX_SEND_DELAY_US
-    assert may_send_again(keyed(deduplication_scope), ONE_AT_A_TIME, first, HERE, last_us)
-    assert not may_send_again(keyed(deduplication_scope), ONE_AT_A_TIME, first, HERE, last_us + 1)
-    assert may_send_again(keyed(deduplication_scope), ONE_AT_A_TIME, first, SAME_ZONE, last_us) is (
-        deduplication_scope is not DeduplicationScope.CELL
-    )
-    assert may_send_again(keyed(deduplication_scope), ONE_AT_A_TIME, first, ELSEWHERE, last_us) is (
-        deduplication_scope is DeduplicationScope.ALL
-    )
-
-
-def test_window_counts_from_the_earliest_attempt_that_may_have_run() -> None:
-    sent = [ended(Outcome.REJECTED, 1 * S), ended(Outcome.TIMEOUT, 5 * S), ended(Outcome.ERROR, 6 * S)]
-    last_us = 5 * S + WINDOW_US - MAX_SEND_DELAY_US
-    assert may_send_again(keyed(DeduplicationScope.ALL), ONE_AT_A_TIME, sent, HERE, last_us)
-    assert not may_send_again(keyed(DeduplicationScope.ALL), ONE_AT_A_TIME, sent, HERE, last_us + 1)
-
-
-def test_broken_and_prevented_are_counted_apart_and_told(caplog: pytest.LogCaptureFixture) -> None:
     invariants = InvariantLog()
     assert invariants.counts() == {}
     with caplog.at_level(logging.INFO):
@@ -88,16 +27,16 @@
     ]
 
 
-def test_repeat_that_the_module_should_not_have_asked_for_does_not_leave() -> None:
-    """As if it had lost sight of the first attempt: the guard goes by what was written itself."""
+def test_unsafe_retry_that_the_balancer_asks_for_is_not_sent() -> None:
+    """As if the balancer had forgotten the first attempt: the guard goes by what was written."""
 
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
             _, client = await one_attempt(sidecar, "pay")
-            (call,) = sidecar.proxy.requests
-            sidecar.proxy.send_attempt(call, "s-1", 0)
-            sidecar.proxy.send_attempt(call, "s-0", 0)
-            while sum(a.ended for a in sidecar.proxy.requests[call].attempts) < 2:
+            (request_id,) = sidecar.proxy.requests
+            sidecar.proxy.send_attempt(request_id, "s-1", 0)
+            sidecar.proxy.send_attempt(request_id, "s-0", 0)
+            while sum(a.ended for a in sidecar.proxy.requests[request_id].attempts) < 2:
                 await asyncio.sleep(0.01)
             assert sidecar.proxy.invariants.prevented[Invariant.UNSAFE_RETRY] == 2
             assert all(fake.asked.empty() for fake in sidecar.endpoints)
@@ -110,8 +49,8 @@
     async def test() -> None:
         async with Sidecar() as sidecar:
             asked, client = await one_attempt(sidecar)
-            (caller,) = sidecar.server.clients
-            caller.close(CloseReason.IDLE)
+            (request_ider,) = sidecar.server.clients
+            request_ider.close(CloseReason.IDLE)
             assert sidecar.proxy.invariants.broken[Invariant.CLOSED_UNANSWERED] == 1
             asked.reply()
             assert (await client.answer()).status == 200
@@ -119,7 +58,7 @@
     run(test())
 
 
-def test_log_tells_what_became_of_a_request_that_failed(caplog: pytest.LogCaptureFixture) -> None:
+def test_failed_request_is_logged_with_its_attempts(caplog: pytest.LogCaptureFixture) -> None:
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
             client = await sidecar.client()
--- a/tests/test_answer_framing.py
+++ b/tests/test_response_framing.py
@@ -1,4 +1,4 @@
-"""Where an endpoint's answer ends: a stated length, chunks, or the orderly end of its connection."""
+"""Where a response ends: a stated length, chunks, or the orderly end of its connection."""
 
 from __future__ import annotations
 
@@ -10,9 +10,15 @@
 
 from tests.sidecar_support import Sidecar, first_asked, one_attempt, run
 
-NO_LENGTH = b"HTTP/1.1 200 OK\r\nX-Note: n\r\n\r\n"
+WITHOUT_LENGTH = b"HTTP/1.1 200 OK\r\nX-Note: n\r\n\r\n"
+
+
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding:%s\r\n\r\n"
+
+
 CHUNKS = b"4\r\nall \r\n3\r\nof \r\n2\r\nit\r\n0\r\n\r\n"
+
+
 FINAL_PART = 5  # bytes of the last chunk
 
 
@@ -22,7 +28,7 @@
     writer.transport.abort()
 
 
-async def sent_in_parts(writer: asyncio.StreamWriter, data: bytes) -> None:
+async def write_in_parts(writer: asyncio.StreamWriter, data: bytes) -> None:
     """Write so that the other side may read each part alone."""
     for place in range(0, len(data), 7):
         writer.write(data[place : place + 7])
@@ -31,14 +37,14 @@
 
 @pytest.mark.parametrize("body", [b"", b"all of it", b"x" * 60_000, b"HTTP/1.1 200 OK\r\n\r\nand more"])
 @pytest.mark.parametrize("in_parts", [False, True])
-def test_answer_with_no_length_ends_with_its_connection(body: bytes, in_parts: bool) -> None:
+def test_response_without_length_ends_with_its_connection(body: bytes, in_parts: bool) -> None:
     async def test() -> None:
         async with Sidecar() as sidecar:
             asked, client = await one_attempt(sidecar)
             if in_parts:
-                await sent_in_parts(asked.writer, NO_LENGTH + body)
+                await write_in_parts(asked.writer, WITHOUT_LENGTH + body)
             else:
-                asked.writer.write(NO_LENGTH + body)
+                asked.writer.write(WITHOUT_LENGTH + body)
             asked.writer.close()
             answer = await client.answer()
             assert (answer.status, answer.body) == (200, body)
@@ -49,8 +55,8 @@
     run(test())
 
 
-def test_refusal_with_no_length_is_sent_to_another_endpoint() -> None:
-    """That it never ran stands in its head."""
+def test_rejection_without_length_is_retried_at_another_endpoint() -> None:
+    """Its head says that it never ran."""
 
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
@@ -63,8 +69,8 @@
     run(test())
 
 
-@pytest.mark.parametrize("sent", [NO_LENGTH, NO_LENGTH + b"half", NO_LENGTH + b"x" * 60_000])
-def test_reset_does_not_end_an_answer_with_no_length(sent: bytes) -> None:
+@pytest.mark.parametrize("sent", [WITHOUT_LENGTH, WITHOUT_LENGTH + b"half", WITHOUT_LENGTH + b"x" * 60_000])
+def test_reset_does_not_complete_a_response_without_length(sent: bytes) -> None:
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
             asked, client = await one_attempt(sidecar)
@@ -78,13 +84,13 @@
     run(test())
 
 
-def test_answer_with_no_length_that_does_not_end_is_given_up() -> None:
-    """Its connection stays open: it may be half of an answer, and is no answer for good."""
+def test_response_without_length_that_does_not_end_is_abandoned() -> None:
+    """Its connection stays open, so it may be truncated."""
 
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
             asked, client = await one_attempt(sidecar)
-            asked.writer.write(NO_LENGTH + b"all of it")
+            asked.writer.write(WITHOUT_LENGTH + b"all of it")
             assert (await client.answer()).status == 502
             assert all(fake.asked.empty() for fake in sidecar.endpoints)
 
@@ -92,8 +98,8 @@
 
 
 @pytest.mark.parametrize("value", [b"chunked", b" chunked", b" chunked ", b" CHUNKED "])
-def test_white_space_round_the_coding_changes_nothing(value: bytes) -> None:
-    """RFC 9110, 5.5: white space round a value is no part of it."""
+def test_whitespace_around_the_transfer_coding_is_ignored(value: bytes) -> None:
+    """RFC 9110, 5.5: it is no part of the value."""
 
     async def test() -> None:
         async with Sidecar() as sidecar:
@@ -107,8 +113,8 @@
 
 @pytest.mark.parametrize("value", [b" chunked", b" chunked "])
 @pytest.mark.parametrize("left_out", [FINAL_PART, FINAL_PART + 1, len(CHUNKS)])
-def test_chunks_that_lack_the_last_one_are_no_answer(value: bytes, left_out: int) -> None:
-    """An orderly end does not make them whole: they state where they end themselves."""
+def test_chunks_without_the_last_one_are_no_response(value: bytes, left_out: int) -> None:
+    """An orderly end does not complete them: they state their end themselves."""
 
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
@@ -122,8 +128,8 @@
 
 
 @pytest.mark.parametrize("value", [b" gzip", b" gzip, chunked", b" chunked, gzip", b" identity"])
-def test_other_codings_are_no_answer(value: bytes) -> None:
-    """Their bytes would be passed on under another framing than they came with."""
+def test_other_transfer_codings_are_no_response(value: bytes) -> None:
+    """Guards against passing bytes on under another framing than they came with."""
 
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
--- /dev/null
+++ b/tests/test_response_validity.py
@@ -0,0 +1,123 @@
+"""What is no valid response, and what may stand around one."""
+
+from __future__ import annotations
+
+import asyncio
+
+import pytest
+
+from corkdoor.sidecar.upstream import manager
+from tests.sidecar_support import (
+    Sidecar,
+    one_attempt,
+    run,
+)
+
+COMPLETE = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood"
+
+
+STATUS_LINE = b"HTTP/1.1 200 OK\r\n"
+
+
+MALFORMED = [
+    ("noise", b"\x00\x01\xfe noise\r\n\r\n"),
+    ("other protocol", b"ICY 200 OK\r\nContent-Length: 4\r\n\r\ngood"),
+    ("status no number", b"HTTP/1.1 2x0 OK\r\nContent-Length: 4\r\n\r\ngood"),
+    ("no colon", STATUS_LINE + b"none here\r\nContent-Length: 4\r\n\r\ngood"),
+    ("two lengths", STATUS_LINE + b"Content-Length: 2\r\nContent-Length: 4\r\n\r\ngood"),
+    (
+        "length and chunks",
+        STATUS_LINE + b"Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ngood\r\n0\r\n\r\n",
+    ),
+    ("negative length", STATUS_LINE + b"Content-Length: -1\r\n\r\ngood"),
+    ("length of 3 GB", STATUS_LINE + b"Content-Length: 3000000000\r\n\r\ngood"),
+    ("no length", STATUS_LINE + b"\r\ngood"),
+    ("chunk of no size", STATUS_LINE + b"Transfer-Encoding: chunked\r\n\r\n2\r\ngo\r\nzz\r\nod\r\n0\r\n\r\n"),
+    (
+        "chunks without end",
+        STATUS_LINE + b"Transfer-Encoding: chunked\r\n\r\n" + b"1000\r\n" + b"x" * 4096 + b"\r\n" * 1,
+    ),
+    ("head without end", STATUS_LINE + b"X-Pad: pppp\r\n" * 20_000),
+    ("line without end", STATUS_LINE + b"X-Pad: " + b"p" * 200_000),
+    ("interim responses without end", b"HTTP/1.1 103 Early Hints\r\n\r\n" * 10_000),
+    ("another protocol agreed", b"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n"),
+]
+
+
+@pytest.mark.parametrize("raw", [s[1] for s in MALFORMED], ids=[s[0] for s in MALFORMED])
+def test_malformed_response_fails_at_once_and_its_connection_closes(
+    raw: bytes, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The request may have run: an unsafe one is not retried, and nothing of the response is passed on."""
+
+    async def test() -> None:
+        monkeypatch.setattr(manager, "STALL_US", 100_000)
+        async with Sidecar(endpoints=2) as sidecar:
+            asked, client = await one_attempt(sidecar)
+            asked.writer.write(raw)
+            answer = await client.answer()
+            assert (answer.status, answer.body) == (502, b"")
+            assert await asyncio.wait_for(ended(sidecar), 2) == 0
+            assert all(fake.asked.empty() for fake in sidecar.endpoints)
+            assert (sidecar.proxy.upstream.open_connections, sidecar.proxy.budget.held_bytes) == (0, 0)
+
+    run(test())
+
+
+async def ended(sidecar: Sidecar) -> int:
+    """Wait until an endpoint's connection has ended."""
+    waits = [asyncio.create_task(fake.ends.get()) for fake in sidecar.endpoints]
+    done, pending = await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
+    for task in pending:
+        task.cancel()
+    return done.pop().result()
+
+
+@pytest.mark.parametrize(
+    "more", [COMPLETE, COMPLETE[:20], b"\xfe\x00 noise\r\n\r\n"], ids=["copy", "part", "noise"]
+)
+def test_complete_response_with_bytes_behind_it_is_delivered_and_its_connection_closes(more: bytes) -> None:
+    """Guards against failing an exchange for what comes behind its response."""
+
+    async def test() -> None:
+        async with Sidecar() as sidecar:
+            client = await sidecar.client()
+            client.send()
+            (await sidecar.endpoints[0].next()).writer.write(COMPLETE + more)
+            answer = await client.answer()
+            assert (answer.status, answer.body) == (200, b"good")
+            client.send()
+            asked = await sidecar.endpoints[0].next()
+            assert asked.connection == 1
+            asked.reply()
+            assert (await client.answer()).body == b"done"
+
+    run(test())
+
+
+def test_load_report_reaches_the_balancer() -> None:
+    async def test() -> None:
+        async with Sidecar() as sidecar:
+            client = await sidecar.client()
+            client.send()
+            report = "srv-load: pending=3,served_ps=140,svc_ms=14.5"
+            (await sidecar.endpoints[0].next()).reply(200, b"good", report)
+            assert (await client.answer()).status == 200
+            assert sidecar.proxy.balancer.rules.service_times.newer.total == 1
+
+    run(test())
+
+
+def test_interim_responses_and_unreadable_load_reports_are_ignored() -> None:
+    async def test() -> None:
+        async with Sidecar() as sidecar:
+            client = await sidecar.client()
+            client.send()
+            asked = await sidecar.endpoints[0].next()
+            asked.writer.write(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n")
+            asked.reply(200, b"good", "Srv-Load: =,;inflight=nan")
+            answer = await client.answer()
+            assert (answer.status, answer.body) == (200, b"good")
+            assert "link" not in answer.headers
+
+    run(test())
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -14,8 +14,8 @@
 
 
 @pytest.mark.parametrize("wakes", [True, False])
-def test_signal_is_acted_on_though_the_loop_is_not_woken_for_it(wakes: bool) -> None:
-    """Seen in the soak: the write that wakes the loop failed with ENOBUFS; the loop loses such a signal."""
+def test_signal_is_acted_on_once_even_if_the_loop_is_not_woken(wakes: bool) -> None:
+    """Guards against the loss of a signal where the write that wakes the loop fails (ENOBUFS)."""
 
     async def test() -> None:
         actions = SignalActions()
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,4 @@
-"""Starts: how long they take, and what is asked of a process meanwhile."""
+"""The start of the process: its duration, and reloads meanwhile."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     return line
 
 
-def test_the_log_tells_the_time_to_ready_once_a_list_is_known(tmp_path: Path) -> None:
+def test_log_states_the_time_to_ready_once_a_list_is_known(tmp_path: Path) -> None:
     async def test() -> None:
         begun = time.monotonic()
         async with program(tmp_path, {}) as running:
@@ -63,7 +63,7 @@
 
 
 async def reloads_until_ready(process: subprocess.Popen[bytes], address: tuple[str, int]) -> None:
-    """Ask for a reload all the while, as whoever replaces configurations does not know of starts."""
+    """Send reloads all the while: whoever replaces configurations does not know of starts."""
     while process.poll() is None:
         process.send_signal(signal.SIGHUP)
         try:
@@ -82,7 +82,7 @@
 
 
 async def status_of_other(address: tuple[str, int]) -> int:
-    """What a request of the class that only the new configuration has is answered."""
+    """Return the status of a request of the class that only the new configuration has."""
     client = Client(*await asyncio.open_connection(*address))
     client.writer.write(
         b"GET /other/a HTTP/1.1\r\nHost: a\r\nReq-Id: 1\r\nReq-Owner: acme\r\nReq-Deadline-Ms: 900\r\n\r\n"
@@ -91,7 +91,7 @@
 
 
 @pytest.mark.parametrize("replaced_after_s", [0.0, 0.02, 0.05, 0.1, 0.2])
-def test_reload_that_is_asked_for_during_the_start_neither_ends_it_nor_gets_lost(
+def test_reload_during_the_start_neither_ends_the_process_nor_gets_lost(
     replaced_after_s: float, tmp_path: Path
 ) -> None:
     async def test() -> None:
