--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -97,7 +97,9 @@
 def test_exception_in_the_module_is_told() -> None:
     twice = ["order sidecar_0 00000000000000aa look - - 500000 - 0"] * 2
     said = play([*START, "sync 2000", *twice, "over_to_you"])
-    assert any(line.startswith("broken sidecar_0 RuntimeError: request 00000000000000aa") for line in said)
+    assert any(
+        line.startswith("broken sidecar_0 DuplicateRequestError: request 00000000000000aa") for line in said
+    )
 
 
 @pytest.mark.parametrize(
