--- a/corkdoor/sidecar/__init__.py
+++ b/corkdoor/sidecar/__init__.py
@@ -1,1 +1,1 @@
-"""The real sidecar: hosts one instance of the decision module on sockets."""
+"""The sidecar: hosts one balancer on real sockets."""
--- a/corkdoor/sidecar/attempt_sender.py
+++ b/corkdoor/sidecar/attempt_sender.py
@@ -19,7 +19,7 @@
 from corkdoor.sidecar.request_registry import RequestRegistry
 from corkdoor.sidecar.resend_guard import Location, SentAttempt, may_send_again
 from corkdoor.sidecar.upstream.attempt import Attempt
-from corkdoor.sidecar.upstream.manager import PoolManager
+from corkdoor.sidecar.upstream.pool_manager import PoolManager
 from corkdoor.sidecar.upstream.response import STATUS_OK, Response, load_report
 
 SUCCESS = Outcome.OK  # bound once: members are slow to look up
--- a/corkdoor/sidecar/config.py
+++ b/corkdoor/sidecar/config.py
@@ -20,7 +20,7 @@
 DEFAULT_MAX_SOCKETS = 1024
 DEFAULT_MEMORY_MB = 192
 MAX_PORT = 65535
-MAX_LIMIT = 1 << 53  # above it a float holds no whole numbers
+MAX_LIMIT = 1 << 53  # above it a float is no longer exact
 DIGEST_CHARS = 8
 
 
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All that a sidecar is told.
+    """The whole configuration of a sidecar.
 
     Attributes:
         name: its name, for the log.
@@ -72,7 +72,7 @@
         discovery: where it asks for endpoint lists.
         seed: of the balancer's random draws.
         resource_limits: of connections, and of bytes held for others.
-        known: the endpoint list to begin with.
+        cached_list: the endpoint list in use until discovery answers.
         settings: the balancer's settings.
         digest: of the settings as the file states them: tells which ones are in force.
     """
@@ -82,7 +82,7 @@
     discovery: Address
     seed: int
     resource_limits: ResourceLimits
-    known: EndpointList
+    cached_list: EndpointList
     settings: Settings
     digest: str = "-"
 
@@ -101,7 +101,7 @@
         raise ConfigFileError("GW_CONFIG", "missing")
     document = _read_document(path)
     settings = _read_settings(document.get("settings"))
-    known = _read_known(document.get("known"))
+    cached_list = _read_cached_list(document.get("known"))
     return Config(
         name=environ.get("GW_NAME") or str(document.get("name", "")),
         listen=parse_address(environ.get("GW_LISTEN") or document.get("listen"), "GW_LISTEN"),
@@ -111,7 +111,7 @@
             int(_read_limit(document, "sockets", DEFAULT_MAX_SOCKETS)),
             _read_limit(document, "memory_mb", DEFAULT_MEMORY_MB),
         ),
-        known=known,
+        cached_list=cached_list,
         settings=settings,
         digest=_digest(document["settings"]),
     )
@@ -156,7 +156,7 @@
         raise InvalidValueError("settings", str(error)) from None
 
 
-def _read_known(document: object) -> EndpointList:
+def _read_cached_list(document: object) -> EndpointList:
     try:
         return read_endpoint_list(document)
     except (ValueError, OverflowError) as error:
--- a/corkdoor/sidecar/endpoint_updates.py
+++ b/corkdoor/sidecar/endpoint_updates.py
@@ -15,7 +15,7 @@
 from corkdoor.sidecar.discovery.endpoint_list import ResolvedEndpoint
 from corkdoor.sidecar.discovery.watcher import DiscoveryWatcher
 from corkdoor.sidecar.invariants import Invariant, InvariantLog
-from corkdoor.sidecar.upstream.manager import PoolManager
+from corkdoor.sidecar.upstream.pool_manager import PoolManager
 
 COMPLETE_LISTS = (WatchEventKind.FULL, WatchEventKind.CACHED)
 log = logging.getLogger(__name__)
--- a/corkdoor/sidecar/proxy.py
+++ b/corkdoor/sidecar/proxy.py
@@ -1,4 +1,7 @@
-"""The host of the balancer: carries out its actions and notifies it of events. It decides nothing."""
+"""The host of the balancer: carries out its actions, and notifies it of events.
+
+It decides nothing; its parts stand in modules of their own.
+"""
 
 from __future__ import annotations
 
@@ -25,7 +28,7 @@
 from corkdoor.sidecar.proxied_request import ProxiedRequest
 from corkdoor.sidecar.request_registry import RequestRegistry
 from corkdoor.sidecar.resource_limits import ByteBudget
-from corkdoor.sidecar.upstream.manager import PoolLimits, PoolManager
+from corkdoor.sidecar.upstream.pool_manager import PoolLimits, PoolManager
 
 log = logging.getLogger(__name__)
 
@@ -65,7 +68,7 @@
         self.watcher = DiscoveryWatcher(
             config.discovery.host,
             config.discovery.port,
-            config.known.generation,
+            config.cached_list.generation,
             connect_timeout_s(config.settings),
             self.on_watch_event,
         )
@@ -90,7 +93,7 @@
     def start(self) -> None:
         """Start the balancer on the cached list, which is in use until discovery answers."""
         self.balancer.start(now_us())
-        self.on_watch_event(WatchEventKind.CACHED, self.config.known.entries)
+        self.on_watch_event(WatchEventKind.CACHED, self.config.cached_list.entries)
         if self.settings.discovery_mode is DiscoveryMode.PUSH:
             self.watcher.start()
         self.lifecycle.enter(ProcessState.SERVING)
--- a/corkdoor/sidecar/request_registry.py
+++ b/corkdoor/sidecar/request_registry.py
@@ -28,7 +28,7 @@
     ProxiedRequest,
     RequestState,
 )
-from corkdoor.sidecar.upstream.manager import PoolManager
+from corkdoor.sidecar.upstream.pool_manager import PoolManager
 from corkdoor.sidecar.upstream.response import STATUS_OK
 
 request_log = logging.getLogger(__name__)  # a line for each request that is not answered 200
--- a/corkdoor/sidecar/upstream/connection.py
+++ b/corkdoor/sidecar/upstream/connection.py
@@ -82,7 +82,7 @@
         return self.last_data_us is not None and self.last_data_us < time_us
 
     def send(self, data: bytes) -> None:
-        """Begin an exchange with a whole request."""
+        """Begin an exchange with a complete request."""
         self.state = CONNECTION_STATES.check(self.state, AWAITING_RESPONSE)
         self.transport.write(data)
 
--- a/corkdoor/sidecar/upstream/pool.py
+++ b/corkdoor/sidecar/upstream/connection_pool.py
@@ -11,10 +11,10 @@
 from corkdoor.sidecar.upstream.response import Response, classify
 
 if TYPE_CHECKING:
-    from corkdoor.sidecar.upstream.manager import PoolManager
+    from corkdoor.sidecar.upstream.pool_manager import PoolManager
 
 
-class EndpointPool:
+class ConnectionPool:
     """The keep-alive connections to one process of one endpoint.
 
     Attributes:
--- a/corkdoor/sidecar/upstream/manager.py
+++ b/corkdoor/sidecar/upstream/pool_manager.py
@@ -1,7 +1,7 @@
 """All pools together: the limit on open connections, connecting, and sending attempts.
 
-There is no hidden retry: an attempt is written to one connection, once, and its outcome is told apart as
-finely as the socket allows, since a request that never ran may be sent again.
+There is no hidden retry: an attempt is written to one connection, once. Its outcome says as exactly as the
+socket allows whether it may have run, since a request that never ran may be sent again.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from corkdoor.sidecar.transport import connector
 from corkdoor.sidecar.upstream.attempt import Attempt
 from corkdoor.sidecar.upstream.connection import Connection
-from corkdoor.sidecar.upstream.pool import EndpointPool
+from corkdoor.sidecar.upstream.connection_pool import ConnectionPool
 
 KEEP_SHARE = 0.85  # of the time after which endpoints close idle connections: those that cross a request fail
 DEFAULT_IDLE_TIMEOUT_US = 5_000_000
@@ -58,8 +58,8 @@
         self.budget = budget
         self.open_connections = 0
         self.counters: Counter[str] = Counter()
-        self.pools: dict[str, EndpointPool] = {}
-        self.pools_with_idle: dict[EndpointPool, None] = {}
+        self.pools: dict[str, ConnectionPool] = {}
+        self.pools_with_idle: dict[ConnectionPool, None] = {}
         self.active: dict[Connection, Attempt] = {}
         self._connecting: set[asyncio.Task[None]] = set()
         self.configure(limits)
@@ -97,9 +97,9 @@
             self.remove_endpoint(endpoint_id)
             pool = None
         if pool is None:
-            self.pools[endpoint_id] = EndpointPool(self, host, port, started_us)
+            self.pools[endpoint_id] = ConnectionPool(self, host, port, started_us)
 
-    def remove_endpoint(self, endpoint_id: str) -> EndpointPool | None:
+    def remove_endpoint(self, endpoint_id: str) -> ConnectionPool | None:
         """Begin nothing new at an endpoint, and return the pool that it had; what is in flight may end."""
         pool = self.pools.pop(endpoint_id, None)
         if pool is not None:
@@ -150,7 +150,7 @@
         min(pools, key=lambda pool: pool.idle[0].idle_since_us).close_longest_idle()
         return True
 
-    def _start_connecting(self, attempt: Attempt, pool: EndpointPool) -> None:
+    def _start_connecting(self, attempt: Attempt, pool: ConnectionPool) -> None:
         self.open_connections += 1
         self.counters["opened"] += 1
         task = asyncio.get_running_loop().create_task(self._connect_and_send(attempt, pool))
@@ -161,7 +161,7 @@
         """Bring a connection up; OSError: it does not come up."""
         await connector.connect(connection, host, port)
 
-    async def _connect_and_send(self, attempt: Attempt, pool: EndpointPool) -> None:
+    async def _connect_and_send(self, attempt: Attempt, pool: ConnectionPool) -> None:
         connection = Connection(pool, self.budget)
         try:
             # A machine that has vanished sends nothing: only time ends such a handshake.
@@ -183,7 +183,7 @@
         else:
             self._write(attempt, connection, pool)
 
-    def _write(self, attempt: Attempt, connection: Connection, pool: EndpointPool) -> None:
+    def _write(self, attempt: Attempt, connection: Connection, pool: ConnectionPool) -> None:
         if not pool.ready:
             self.invariants.record_broken(Invariant.SENT_TO_REMOVED, attempt.endpoint_id)
         data = attempt.encode(attempt)
--- a/emulator/breakdown.py
+++ b/emulator/breakdown.py
@@ -29,7 +29,7 @@
 from corkdoor.sidecar.discovery.client import DiscoveryClient
 from corkdoor.sidecar.request_registry import RequestRegistry
 from corkdoor.sidecar.upstream.connection import Connection
-from corkdoor.sidecar.upstream.pool import EndpointPool
+from corkdoor.sidecar.upstream.connection_pool import ConnectionPool
 from emulator.sidecar import VARIABLE
 
 # The step's name, its class or module, and its method or function.
@@ -42,7 +42,7 @@
     ("module pick", EndpointChooser, "choose"),
     ("module refill", TokenBuckets, "refill"),
     ("hand off", proxy.Proxy, "send_attempt"),
-    ("take connection", EndpointPool, "acquire"),
+    ("take connection", ConnectionPool, "acquire"),
     ("poll for staleness", Connection, "is_stale"),
     ("write to endpoint", Connection, "send"),
     ("read answer", Connection, "data_received"),
--- a/emulator/hollow.py
+++ b/emulator/hollow.py
@@ -191,7 +191,7 @@
             discovery=Address(host, int(port)),
             seed=seed,
             resource_limits=RESOURCE_LIMITS,
-            known=self.known[sidecar.service],
+            cached_list=self.known[sidecar.service],
             settings=read_settings(document),
         )
 
--- a/tests/sidecar_support.py
+++ b/tests/sidecar_support.py
@@ -239,7 +239,7 @@
             discovery=Address(host, int(port)),
             seed=7,
             resource_limits=self.resource_limits,
-            known=read_endpoint_list(json.loads(listing(1, True, *rows))),
+            cached_list=read_endpoint_list(json.loads(listing(1, True, *rows))),
             settings=read_settings(self.setup),
         )
         self.proxy = Proxy(self.config)
--- a/tests/test_crowding.py
+++ b/tests/test_crowding.py
@@ -17,7 +17,7 @@
 from corkdoor.sidecar.clients import read_flow, registry, server
 from corkdoor.sidecar.clients.timeouts import ClientTimeouts
 from corkdoor.sidecar.clock import now_us
-from corkdoor.sidecar.upstream import attempt, connection, manager, pool
+from corkdoor.sidecar.upstream import attempt, connection, connection_pool, pool_manager
 from tests.sidecar_support import Asked, Client, Sidecar, run
 
 # A slow machine may check clients before they are in use, and would close them by the test's clock.
@@ -31,7 +31,16 @@
         self.us = now_us()
         for module in (
             *(attempt_sender, balancer_events, endpoint_updates, proxy, request_registry),
-            *(client_connection, read_flow, registry, server, attempt, connection, manager, pool),
+            *(
+                client_connection,
+                read_flow,
+                registry,
+                server,
+                attempt,
+                connection,
+                connection_pool,
+                pool_manager,
+            ),
         ):
             monkeypatch.setattr(module, "now_us", lambda: self.us)
 
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -15,10 +15,10 @@
 from corkdoor.sidecar.proxied_request import ProxiedRequest
 from corkdoor.sidecar.upstream.attempt import Attempt
 from corkdoor.sidecar.upstream.connection import Connection
-from corkdoor.sidecar.upstream.pool import EndpointPool
+from corkdoor.sidecar.upstream.connection_pool import ConnectionPool
 from tests.sidecar_support import Fake, Sidecar, row, run
 
-COUNTED = (Alarm, Attempt, ClientConnection, Connection, EndpointPool, ProxiedRequest)
+COUNTED = (Alarm, Attempt, ClientConnection, Connection, ConnectionPool, ProxiedRequest)
 
 
 def live_objects() -> Counter[str]:
--- a/tests/test_reload_limits.py
+++ b/tests/test_reload_limits.py
@@ -8,7 +8,7 @@
 
 from corkdoor.sidecar.resource_limits import ResourceLimits
 from corkdoor.sidecar.upstream.connection import Connection
-from corkdoor.sidecar.upstream.manager import PoolManager
+from corkdoor.sidecar.upstream.pool_manager import PoolManager
 from tests.reload_support import reload
 from tests.sidecar_support import (
     SETUP,
--- a/tests/test_response_validity.py
+++ b/tests/test_response_validity.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from corkdoor.sidecar.upstream import manager
+from corkdoor.sidecar.upstream import pool_manager
 from tests.sidecar_support import (
     Sidecar,
     one_attempt,
@@ -51,7 +51,7 @@
     """The request may have run: an unsafe one is not retried, and nothing of the response is passed on."""
 
     async def test() -> None:
-        monkeypatch.setattr(manager, "STALL_US", 100_000)
+        monkeypatch.setattr(pool_manager, "STALL_US", 100_000)
         async with Sidecar(endpoints=2) as sidecar:
             asked, client = await one_attempt(sidecar)
             asked.writer.write(raw)
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -17,7 +17,7 @@
 from corkdoor.sidecar.resend_guard import Location
 from corkdoor.sidecar.resource_limits import ByteBudget
 from corkdoor.sidecar.upstream.attempt import Attempt
-from corkdoor.sidecar.upstream.manager import PoolLimits, PoolManager
+from corkdoor.sidecar.upstream.pool_manager import PoolLimits, PoolManager
 from corkdoor.sidecar.upstream.response import Response
 from tests.sidecar_support import (
     SETUP,
