--- a/corkdoor/balancer.py
+++ b/corkdoor/balancer.py
@@ -11,7 +11,7 @@
 import random
 from collections.abc import Sequence
 
-from corkdoor.interface import Actions
+from corkdoor.interface import Actions, Events
 from corkdoor.load_report import LoadReport
 from corkdoor.model import DiscoveryMode, Endpoint, Outcome, Timer, WatchEventKind
 from corkdoor.policy.discovery.polling import DiscoveryPolling
@@ -31,7 +31,7 @@
 FAILED_POLLS = frozenset((WatchEventKind.FAILED, WatchEventKind.REJECTED, WatchEventKind.LOST))
 
 
-class Balancer:
+class Balancer(Events):
     """The decisions of one instance.
 
     Args:
