--- a/corkdoor/balancer.py
+++ b/corkdoor/balancer.py
@@ -149,7 +149,7 @@
             while (request := queue.head(priority)) is not None:
                 if not self._try_send(now_us, request):
                     break
-                queue.remove()
+                queue.note_dequeued()
 
     # --- requests ---
 
@@ -222,7 +222,7 @@
     def _finish(self, request: Request) -> None:
         """No answer is owed any more: cancel attempts, and forget the request once none is in flight."""
         if request.state is RequestState.QUEUED:
-            self.queue.remove()
+            self.queue.note_dequeued()
         if not request.outstanding:
             request.enter(RequestState.CLOSED)
             del self.requests[request.id]
--- a/corkdoor/policy/endpoint_choice.py
+++ b/corkdoor/policy/endpoint_choice.py
@@ -18,7 +18,7 @@
 from corkdoor.settings import Settings
 
 CHOICES = 2
-MAX_DRAWS = 8
+MAX_DRAWS = 8  # repeated draws included; after these a request finds no endpoint for now
 
 
 class EndpointChooser:
--- a/corkdoor/policy/request_queue.py
+++ b/corkdoor/policy/request_queue.py
@@ -68,8 +68,8 @@
         heapq.heappush(self._timeouts, QueueTimeout(timeout_us, self._serial, request))
         return True
 
-    def remove(self) -> None:
-        """Count out a request that is queued no more; its entries are dropped when they come up."""
+    def note_dequeued(self) -> None:
+        """Count out a request whose state is no longer QUEUED; its entries are dropped when they come up."""
         self.count -= 1
         if not self.count:
             # Guards against rejecting for a queue's past once it is empty.
--- a/corkdoor/policy/routing.py
+++ b/corkdoor/policy/routing.py
@@ -51,7 +51,7 @@
         """Return a route with capacity, or None."""
         placement = request.placement
         share = LOW_PRIORITY_SHARE if self._priorities.is_low(request.priority) else 1.0
-        local_may_free_up = False
+        local_may_free_up = False  # whether waiting for a local endpoint makes sense
         for pool in placement.pools:
             if not pool.subset.members:
                 continue
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -26,50 +26,54 @@
     return Counter(type(o).__name__ for o in gc.get_objects() if isinstance(o, COUNTED))
 
 
+async def play_request(sidecar: Sidecar, ending: str) -> None:
+    """Play one request of a new client, which ends like this."""
+    client = await sidecar.client()
+    client.send(
+        deadline_ms=80 if ending == "timed out" else 2500,
+        Req_Owner="?" if ending == "rejected" else "acme",
+    )
+    if ending != "rejected":
+        received = await sidecar.endpoints[0].next()
+        if ending == "answered":
+            received.reply(200, b"done", "Connection: close")
+        elif ending == "malformed answer":
+            received.writer.write(b"noise\r\n\r\n")
+    if ending == "client left":
+        client.writer.close()
+        await sidecar.endpoints[0].ends.get()
+    else:
+        await client.answer()
+    client.writer.close()
+
+
+async def wait_until_closed(sidecar: Sidecar) -> None:
+    """Wait until all connections of clients and to endpoints are closed."""
+    while sidecar.server.clients or sidecar.proxy.requests or sidecar.proxy.upstream.open_connections:
+        await asyncio.sleep(0.01)
+    await asyncio.sleep(0.05)  # what was aborted is let go of in the loop's next turns
+
+
 @pytest.mark.parametrize("ending", ["answered", "rejected", "client left", "malformed answer", "timed out"])
 def test_closed_connections_leave_no_reference_cycles(ending: str) -> None:
     """Full collections are rare in service: what hangs in a cycle would pile up."""
 
-    async def play_request(sidecar: Sidecar) -> None:
-        client = await sidecar.client()
-        client.send(
-            deadline_ms=80 if ending == "timed out" else 2500,
-            Req_Owner="?" if ending == "rejected" else "acme",
-        )
-        if ending != "rejected":
-            received = await sidecar.endpoints[0].next()
-            if ending == "answered":
-                received.reply(200, b"done", "Connection: close")
-            elif ending == "malformed answer":
-                received.writer.write(b"noise\r\n\r\n")
-        if ending == "client left":
-            client.writer.close()
-            await sidecar.endpoints[0].ends.get()
-        else:
-            await client.answer()
-        client.writer.close()
-
     async def test() -> None:
         async with Sidecar(MayCancel=True) as sidecar:
-            await play_request(sidecar)
+            await play_request(sidecar, ending)
             await wait_until_closed(sidecar)
             gc.collect()
             gc.disable()
             try:
                 before = live_objects()
                 for _ in range(10):
-                    await play_request(sidecar)
+                    await play_request(sidecar, ending)
                 await wait_until_closed(sidecar)
                 # The last request may still be on its way out; a leak would grow with each of them.
                 assert max((live_objects() - before).values(), default=0) <= 2
             finally:
                 gc.enable()
 
-    async def wait_until_closed(sidecar: Sidecar) -> None:
-        while sidecar.server.clients or sidecar.proxy.requests or sidecar.proxy.upstream.open_connections:
-            await asyncio.sleep(0.01)
-        await asyncio.sleep(0.05)  # what was aborted is let go of in the loop's next turns
-
     run(test())
 
 
