--- a/corkdoor/sidecar/proxied_request.py
+++ b/corkdoor/sidecar/proxied_request.py
@@ -2,19 +2,19 @@
 
 from __future__ import annotations
 
-from enum import auto
+from enum import IntEnum, auto
 from typing import Protocol
 
 from corkdoor.settings import RequestClass
 from corkdoor.sidecar.clock import Alarm, now_us
-from corkdoor.sidecar.upstream.attempt import Attempt
-from corkdoor.state_machine import ObjectState, TransitionTable
+from corkdoor.sidecar.upstream.attempt import ENDED, Attempt
+from corkdoor.state_machine import TransitionTable
 
 ANSWER_MARGIN_US = 40_000  # an answer leaves this long before the client's deadline: its bytes take time too
 MARGIN_SHARE = 0.1  # but at most this share of the time that is left
 
 
-class RequestState(ObjectState):
+class RequestState(IntEnum):
     """How far a request has come."""
 
     OPEN = auto()  # an answer is owed
@@ -23,13 +23,14 @@
     DONE = auto()  # nothing more can come of it
 
 
+OPEN, ANSWERED, CANCELLED, DONE = RequestState  # bound once: members are slow to look up
 REQUEST_STATES = TransitionTable(
     "request",
     {
-        RequestState.OPEN: frozenset((RequestState.ANSWERED, RequestState.CANCELLED)),
-        RequestState.ANSWERED: frozenset((RequestState.DONE,)),
-        RequestState.CANCELLED: frozenset((RequestState.DONE,)),
-        RequestState.DONE: frozenset(),
+        OPEN: frozenset((ANSWERED, CANCELLED)),
+        ANSWERED: frozenset((DONE,)),
+        CANCELLED: frozenset((DONE,)),
+        DONE: frozenset(),
     },
 )
 
@@ -102,22 +103,16 @@
         self.head = head
         self.body = body
         self.request_id = ""
-        self.state = RequestState.OPEN
+        self.state = OPEN
         self.attempts: list[Attempt] = []
         self.timeout: Alarm | None = None
 
-    @property
-    def closed(self) -> bool:
-        """Whether no answer is owed any more."""
-        return self.state is not RequestState.OPEN
-
-    def enter(self, state: RequestState) -> None:
-        """Go on to this state."""
-        self.state = REQUEST_STATES.check(self.state, state)
-
     def has_attempts_in_flight(self) -> bool:
         """Whether the outcome of any attempt is still to come."""
-        return any(not attempt.ended for attempt in self.attempts)
+        for attempt in self.attempts:  # noqa: SIM110 - half the cost of `any`, for each request
+            if attempt.state is not ENDED:
+                return True
+        return False
 
     def remaining_ms(self) -> int:
         """Return the time until the client gives up, in milliseconds."""
