--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -1,4 +1,4 @@
-"""Settings that leave something out, or hold numbers past all bounds."""
+"""Configurations that leave something out, or hold numbers past all bounds."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from tests.sidecar_support import SETUP, started
 
 
-def test_an_inner_tier_starts_where_the_names_of_tiers_are_left_out() -> None:
+def test_inner_tier_starts_where_the_names_of_tiers_are_left_out() -> None:
     assert read_settings({**SETUP, "Tiers": None, "Layer": 2}).layer == 2
 
 
@@ -23,7 +23,7 @@
         ({"settings": SETUP, "limits": {"sockets": float("inf")}}, "limits.sockets"),
     ],
 )
-def test_numbers_past_all_bounds_end_with_one_plain_line(
+def test_numbers_past_all_bounds_end_with_one_line(
     tmp_path: Path, changes: dict[str, Any], reason: str
 ) -> None:
     process = started(tmp_path, changes)
--- /dev/null
+++ b/tests/test_discovery_polling.py
@@ -0,0 +1,204 @@
+"""When the next call to discovery begins, after failures, answers and address changes."""
+
+from __future__ import annotations
+
+from hypothesis import given
+from hypothesis import strategies as st
+
+from corkdoor.model import DiscoveryMode, WatchEventKind
+from corkdoor.policy.discovery.address_debounce import SETTLE_US
+from corkdoor.policy.discovery.connect_timeout import (
+    MAX_TIMEOUT_S,
+    MIN_TIMEOUT_S,
+    connect_timeout_s,
+    reconnect_timeout_s,
+)
+from corkdoor.policy.discovery.failure_backoff import (
+    BACKOFF_TRANSITIONS,
+    MAX_INTERVAL_NEW_ADDRESS_US,
+    MIN_WAIT_US,
+)
+from corkdoor.policy.discovery.fair_turns import FIRST_TURN_US, MAX_MEAN_WAIT_US
+from corkdoor.policy.discovery.immediate_retry import (
+    MAX_IMMEDIATE_RETRIES,
+    REJECTED_WAIT_US,
+    ImmediateRetry,
+)
+from corkdoor.policy.discovery.poll_limits import (
+    FIRST_INTERVAL_US,
+    MAX_INTERVAL_REJECTED_US,
+    MAX_INTERVAL_US,
+    poll_limits,
+)
+from corkdoor.policy.discovery.poll_state import POLL_TRANSITIONS
+from corkdoor.settings import LifecycleRules
+from tests.support import Host, S, endpoints, settings
+
+
+def test_push_deployment_polls_soon_after_an_outage() -> None:
+    """Guards against waits past the drain grace: what discovery has at its return counts at once."""
+    grace_us = 800_000
+    host = Host(
+        settings(discovery_mode=DiscoveryMode.PUSH, lifecycle=LifecycleRules(drain_grace_us=grace_us))
+    )
+    for _ in range(20):
+        host.timers.clear()
+        host.balancer.on_watch_event(host.now, WatchEventKind.FAILED, [])
+        ((due, _),) = host.timers
+        assert due - host.now <= grace_us / 2
+        host.advance(due - host.now)
+    for _ in range(5):  # a rejection after a wait tells of too many callers: that is no reason to hurry
+        host.now += 2 * S
+        call_began = host.now - 2 * S
+        host.balancer.on_watch_event(host.now, WatchEventKind.REJECTED, [])
+        ((due, _),) = host.timers
+        host.advance(due - host.now)
+    assert MAX_INTERVAL_REJECTED_US * 0.75 <= due - call_began <= MAX_INTERVAL_REJECTED_US
+    host.balancer.on_watch_event(host.now, WatchEventKind.DELTA, [])
+    answered = host.now
+    waits = []
+    while host.now < answered + 7 * S:  # one that comes at once tells of a short queue
+        host.balancer.on_watch_event(host.now, WatchEventKind.REJECTED, [])
+        ((due, _),) = host.timers
+        waits.append(due - host.now)
+        host.advance(due - host.now)
+    assert min(waits) >= FIRST_TURN_US * 0.5
+    assert max(waits) <= MAX_MEAN_WAIT_US * 1.5
+    assert max(waits[:3]) <= FIRST_TURN_US * 1.8
+
+
+@given(
+    st.sampled_from(DiscoveryMode),
+    st.integers(0, 60_000_000),
+    st.booleans(),
+    st.integers(0),
+    st.lists(
+        st.tuples(
+            st.sampled_from((WatchEventKind.FAILED, WatchEventKind.REJECTED, WatchEventKind.LOST)),
+            st.integers(0, 3 * S),
+        ),
+        min_size=1,
+        max_size=30,
+    ),
+)
+def test_calls_to_discovery_begin_within_the_longest_interval(
+    mode: DiscoveryMode,
+    poll_interval_us: int,
+    address_changed: bool,
+    seed: int,
+    calls: list[tuple[WatchEventKind, int]],
+) -> None:
+    """However calls fail and however long that takes them."""
+    rules = LifecycleRules(poll_interval_us=poll_interval_us)
+    host = Host(settings(discovery_mode=mode, lifecycle=rules), seed=seed)
+    if address_changed:
+        host.balancer.on_discovery_moved(host.now)
+    bound = (
+        max(FIRST_INTERVAL_US, 3 * poll_interval_us)
+        if mode is DiscoveryMode.POLL
+        else MAX_INTERVAL_REJECTED_US
+    )
+    host.did.clear()
+    immediate = 0
+    for number, (failure, spent) in enumerate(calls):
+        began = host.now
+        host.now += spent
+        host.balancer.on_watch_event(host.now, failure, [])
+        host.balancer.on_watch_event(host.now, failure, [])  # reported twice
+        ((due, _),) = host.timers
+        wait = due - host.now
+        longest = MAX_INTERVAL_NEW_ADDRESS_US if address_changed else MAX_INTERVAL_US
+        if failure is WatchEventKind.REJECTED:
+            longest = MAX_INTERVAL_REJECTED_US // 2 if address_changed else MAX_INTERVAL_REJECTED_US
+        longest = min(longest, bound)
+        pause = 1.4 * REJECTED_WAIT_US if failure is WatchEventKind.REJECTED else MIN_WAIT_US
+        if number or address_changed:
+            assert due - began <= max(longest, spent + pause)
+        immediate = immediate + 1 if wait < MIN_WAIT_US / 2 else 0
+        assert immediate <= MAX_IMMEDIATE_RETRIES  # never a loop without a pause
+        host.advance(wait)
+        assert host.did.pop() == ("watch_discovery", True)
+        assert not host.did
+        assert not host.timers
+
+
+def test_next_poll_comes_before_changes_count_as_notified() -> None:
+    host = Host(
+        settings(discovery_mode=DiscoveryMode.POLL, lifecycle=LifecycleRules(poll_interval_us=500_000))
+    )
+    for _ in range(8):
+        host.timers.clear()
+        host.balancer.on_watch_event(host.now, WatchEventKind.FAILED, [])
+        ((due, _),) = host.timers
+        assert due - host.now < 4 * 500_000
+        host.advance(due - host.now)
+
+
+def test_polling_follows_its_table_of_states() -> None:
+    before = POLL_TRANSITIONS.violations.total() + BACKOFF_TRANSITIONS.violations.total()
+    host = Host(settings(discovery_mode=DiscoveryMode.POLL))
+    polling = host.balancer.discovery
+    states = [polling.state]
+    host.balancer.on_watch_event(host.now, WatchEventKind.REJECTED, [])
+    states.append(polling.state)
+    assert polling.backoff.phase.name == "RETRYING"
+    assert polling.next_poll_us is not None
+    host.advance(polling.next_poll_us - host.now)
+    states.append(polling.state)
+    host.balancer.on_watch_event(host.now, WatchEventKind.FULL, endpoints(2))  # it is overloaded
+    states.append(polling.state)
+    assert polling.backoff.phase.name == "NONE_FAILED"
+    for _ in range(2):
+        host.balancer.on_discovery_moved(host.now)
+        states.append(polling.state)
+        assert polling.backoff.phase.name == "NEW_ADDRESS"
+    host.advance(SETTLE_US)
+    states.append(polling.state)
+    assert [state.name for state in states] == [
+        "CALLING",
+        "BACKING_OFF",
+        "CALLING",
+        "RESTING",
+        "CALLING",
+        "SETTLING",
+        "CALLING",
+    ]
+    assert POLL_TRANSITIONS.violations.total() + BACKOFF_TRANSITIONS.violations.total() == before
+
+
+def test_timer_that_was_overtaken_starts_no_call() -> None:
+    host = Host(settings(discovery_mode=DiscoveryMode.POLL))
+    host.balancer.on_watch_event(host.now, WatchEventKind.FAILED, [])
+    host.balancer.discovery.poll(host.now)
+    host.did.clear()
+    host.advance(10 * S)
+    assert host.did == []
+
+
+def test_third_lost_answer_in_a_row_backs_off() -> None:
+    retry = ImmediateRetry()
+    waits = [retry.wait_us(WatchEventKind.LOST, 0.5) for _ in range(MAX_IMMEDIATE_RETRIES + 1)]
+    assert waits == [0] * MAX_IMMEDIATE_RETRIES + [None]
+    assert retry.wait_us(WatchEventKind.FAILED, 0.5) is None
+    assert retry.wait_us(WatchEventKind.LOST, 0.5) == 0
+    assert retry.wait_us(WatchEventKind.REJECTED, 1.0) == int(REJECTED_WAIT_US * 1.4)
+
+
+def test_poll_limits_follow_the_mode_and_the_settings() -> None:
+    push = settings(discovery_mode=DiscoveryMode.PUSH, lifecycle=LifecycleRules(drain_grace_us=800_000))
+    assert poll_limits(push) == (300_000, MAX_INTERVAL_REJECTED_US)
+    poll = settings(discovery_mode=DiscoveryMode.POLL, lifecycle=LifecycleRules(poll_interval_us=500_000))
+    assert poll_limits(poll) == (1_500_000, 1_500_000)
+    often = settings(discovery_mode=DiscoveryMode.POLL, lifecycle=LifecycleRules(poll_interval_us=0))
+    assert poll_limits(often) == (FIRST_INTERVAL_US, FIRST_INTERVAL_US)
+    seldom = settings(discovery_mode=DiscoveryMode.POLL, lifecycle=LifecycleRules(poll_interval_us=20 * S))
+    assert poll_limits(seldom) == (MAX_INTERVAL_US, MAX_INTERVAL_REJECTED_US)
+
+
+def test_connections_of_a_push_deployment_time_out_within_the_drain_grace() -> None:
+    poll = settings(discovery_mode=DiscoveryMode.POLL)
+    assert connect_timeout_s(poll) == MAX_TIMEOUT_S
+    for grace_us, timeout_s in ((0, MIN_TIMEOUT_S), (2_000_000, 0.5), (60_000_000, MAX_TIMEOUT_S)):
+        rules = LifecycleRules(drain_grace_us=grace_us)
+        assert connect_timeout_s(settings(discovery_mode=DiscoveryMode.PUSH, lifecycle=rules)) == timeout_s
+    assert reconnect_timeout_s(MAX_TIMEOUT_S) == MIN_TIMEOUT_S
--- a/tests/test_list_freshness.py
+++ b/tests/test_list_freshness.py
@@ -1,4 +1,4 @@
-"""How fresh the list is, and the guard on sends after a change counted as told though no list came."""
+"""How fresh the endpoint list is, and the guard on attempts after a drain counted as notified."""
 
 from __future__ import annotations
 
@@ -22,22 +22,22 @@
 NOW = 1_000 * S
 
 
-def freshness(form: DiscoveryMode = DiscoveryMode.POLL) -> ListFreshness:
+def list_freshness_in(mode: DiscoveryMode = DiscoveryMode.POLL) -> ListFreshness:
     return ListFreshness(
-        settings(discovery_mode=form, lifecycle=LifecycleRules(drain_grace_us=GRACE_US)), NOW
+        settings(discovery_mode=mode, lifecycle=LifecycleRules(drain_grace_us=GRACE_US)), NOW
     )
 
 
-def test_nothing_is_missed_while_a_watch_is_open() -> None:
-    fresh = freshness()
+def test_no_change_is_missing_while_a_watch_is_open() -> None:
+    fresh = list_freshness_in()
     fresh.on_answer(NOW + 1 * S, empty=False)
     assert fresh.age_us(NOW + 60 * S) == 0
     assert fresh.breach_possible_since_us() is None
     assert fresh.longest_age_us == 1 * S
 
 
-def test_after_an_answer_whose_next_call_is_refused_changes_may_be_missed_from_then_on() -> None:
-    fresh = freshness()
+def test_changes_may_be_missing_since_the_answer_whose_next_call_is_rejected() -> None:
+    fresh = list_freshness_in()
     fresh.on_answer(NOW, empty=False)
     for at in range(1, 4):
         fresh.on_failure(NOW + at * S, WatchEventKind.REJECTED, 30 * MS)
@@ -47,8 +47,8 @@
     assert fresh.breach_possible_since_us() == NOW + NOTIFIED_AFTER_US + GRACE_US
 
 
-def test_moves_and_outages_count_as_told_later_and_answers_are_wanted_sooner() -> None:
-    fresh = freshness()
+def test_address_changes_and_outages_count_as_notified_later_and_answers_are_due_sooner() -> None:
+    fresh = list_freshness_in()
     fresh.on_answer(NOW, empty=False)
     fresh.on_address_changed(NOW + 1 * S)
     assert fresh.answer_due_us() == NOW + 1 * S + NOTIFIED_AFTER_ADDRESS_CHANGE_US
@@ -60,25 +60,25 @@
     assert fresh.counts_as_notified_us() == NOW + 9 * S + NOTIFIED_AFTER_US
 
 
-def test_a_watch_that_is_reset_told_all_until_then() -> None:
-    fresh = freshness()
+def test_watch_that_is_reset_brought_all_changes_until_then() -> None:
+    fresh = list_freshness_in()
     fresh.on_answer(NOW, empty=False)
     fresh.on_failure(NOW + 8 * S, WatchEventKind.FAILED, 8 * S)
     assert fresh.age_us(NOW + 9 * S) == 1 * S
 
 
-def test_pushed_lists_count_as_told_at_once() -> None:
-    fresh = freshness(DiscoveryMode.PUSH)
+def test_pushed_changes_count_as_notified_at_once() -> None:
+    fresh = list_freshness_in(DiscoveryMode.PUSH)
     fresh.on_answer(NOW, empty=False)
     fresh.on_failure(NOW + 1 * S, WatchEventKind.LOST, 1 * S)
     assert fresh.counts_as_notified_us() == NOW
 
 
 @pytest.mark.parametrize("late", [True, False])
-def test_guard_notes_what_was_sent_after_a_change_counted_as_told(
+def test_guard_notes_what_was_sent_after_a_drain_counted_as_notified(
     late: bool, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Only the list that comes late shows that a send may have broken the rule."""
+    """Only the list that comes late shows that an attempt may have broken the promise."""
     if late:
         monkeypatch.setattr(list_freshness, "NOTIFIED_AFTER_US", 0)
 
@@ -96,13 +96,14 @@
             assert found == ({Invariant.SENT_UNTOLD: 1} if late else {})
             report = sidecar.proxy.report()
             assert ("possible sent_untold 1" in report) is late
-            assert "list rejected 1" in report and "list delta 1" in report
+            assert "list rejected 1" in report
+            assert "list delta 1" in report
             await asyncio.sleep(0)
 
     run(test())
     lines = [record.message for record in caplog.records if "possibly broken" in record.message]
     assert len(lines) == late
     for line in lines:
-        assert (
-            "request r-7 attempt 0 to s-0" in line and "(draining)" in line and "delta of version 9" in line
-        )
+        assert "request r-7 attempt 0 to s-0" in line
+        assert "(draining)" in line
+        assert "delta of version 9" in line
--- a/tests/test_crowded_discovery.py
+++ b/tests/test_overloaded_discovery.py
@@ -1,4 +1,4 @@
-"""A discovery that turns calls away at once: its queue is full, and it may have room a moment later."""
+"""A discovery that rejects calls at once: its queue is full, and it may have room a moment later."""
 
 from __future__ import annotations
 
@@ -35,56 +35,56 @@
 from tests.support import MS, Host, S, endpoints, settings
 
 WATCH_US = 3_500 * MS  # a watch is answered after so long
-TOLD_S = 6.0  # a change counts as told so long after discovery had it and could be reached
+NOTIFIED_AFTER_S = 6.0  # a change counts as notified so long after discovery had it and could be reached
 
 
-def test_sidecar_that_is_turned_away_at_once_asks_several_times_in_time() -> None:
-    """Seen on herd+brink: refused at 17.4 and 22.1 s, and told at 27.4 s of a drain at 18.9 s."""
+def test_instance_that_is_rejected_at_once_polls_several_times_in_time() -> None:
+    """Guards against a backoff that lets a drain go unnoticed for 8 s while the queue has room at times."""
 
     async def test() -> None:
         async with Sidecar() as sidecar:
             for _ in range(4):
                 (await sidecar.discovery.next()).reply(503, b"")
-            begun = time.monotonic()
+            began = time.monotonic()
             for _ in range(3):
                 (await sidecar.discovery.next()).reply(503, b"")
             drains = row("s-0", sidecar.endpoints[0].address, "draining")
             (await sidecar.discovery.next()).reply(200, listing(2, True, drains))
             await sidecar.discovery.next()
-            assert time.monotonic() - begun < TOLD_S
+            assert time.monotonic() - began < NOTIFIED_AFTER_S
 
     run(test(), 30.0)
 
 
-class CrowdedDiscovery:
-    """Works through calls one after another; turns away at once what comes while enough wait."""
+class OverloadedDiscovery:
+    """Serves calls one after another; rejects at once what comes while too many wait."""
 
-    def __init__(self, sidecars: int, cost_us: int, room: int, seed: int) -> None:
+    def __init__(self, instance_count: int, cost_us: int, capacity: int, seed: int) -> None:
         self.cost_us = cost_us
-        self.room = room
+        self.capacity = capacity
         self.now = 1_000_000_000
         self.events: list[tuple[int, int, str, int]] = []
         self.serial = 0
         self.queue: deque[int] = deque()
-        self.watching = [False] * sidecars
-        self.told_at: dict[int, list[int]] = {number: [] for number in range(sidecars)}
+        self.watching = [False] * instance_count
+        self.answered_at: dict[int, list[int]] = {number: [] for number in range(instance_count)}
         chosen = settings(
             discovery_mode=DiscoveryMode.POLL, lifecycle=LifecycleRules(poll_interval_us=10 * S)
         )
-        self.sidecars = [
-            Balancer(chosen, seed * 1000 + number, cast(Actions, Caller(self, number)))
-            for number in range(sidecars)
+        self.instances = [
+            Balancer(chosen, seed * 1000 + number, cast(Actions, PollingActions(self, number)))
+            for number in range(instance_count)
         ]
-        for number in range(sidecars):
+        for number in range(instance_count):
             self.after(number * 100 * MS, "start", number)
 
     def after(self, delay_us: int, what: str, number: int) -> None:
         self.serial += 1
         heapq.heappush(self.events, (self.now + delay_us, self.serial, what, number))
 
-    def ask(self, number: int) -> None:
-        if len(self.queue) > self.room:
-            self.after(20 * MS, "refuse", number)
+    def call(self, number: int) -> None:
+        if len(self.queue) > self.capacity:
+            self.after(20 * MS, "reject", number)
             return
         self.queue.append(number)
         if len(self.queue) == 1:
@@ -93,16 +93,16 @@
     def run(self, until_us: int) -> None:
         while self.events and self.events[0][0] <= until_us:
             self.now, _, what, number = heapq.heappop(self.events)
-            sidecar = self.sidecars[number]
+            instance = self.instances[number]
             if what == "start":
-                sidecar.start(self.now)
-            elif what == "wake":
-                sidecar.on_timer(self.now, Timer.DISCOVERY_POLL)
-            elif what == "refuse":
-                sidecar.on_watch_event(self.now, WatchEventKind.REJECTED, [])
+                instance.start(self.now)
+            elif what == "timer":
+                instance.on_timer(self.now, Timer.DISCOVERY_POLL)
+            elif what == "reject":
+                instance.on_watch_event(self.now, WatchEventKind.REJECTED, [])
             elif what == "watch ends":
-                if self.watching[number] and self.now == self.told_at[number][-1] + WATCH_US:
-                    self.ask(number)
+                if self.watching[number] and self.now == self.answered_at[number][-1] + WATCH_US:
+                    self.call(number)
             else:
                 self._answer(number)
 
@@ -110,48 +110,48 @@
         self.queue.popleft()
         if self.queue:
             self.after(self.cost_us, "answer", self.queue[0])
-        self.told_at[number].append(self.now)
+        self.answered_at[number].append(self.now)
         self.watching[number] = True
-        self.sidecars[number].on_watch_event(self.now, WatchEventKind.DELTA, [])
+        self.instances[number].on_watch_event(self.now, WatchEventKind.DELTA, [])
         # The next watch costs a call at its beginning, as it does here, and is answered after a while.
         self.after(WATCH_US, "watch ends", number)
 
 
-class Caller:
-    """The actions of one sidecar that matter here: it asks, and sets timers for that."""
+class PollingActions:
+    """The actions of one instance that matter here: it polls, and starts timers for that."""
 
-    def __init__(self, discovery: CrowdedDiscovery, number: int) -> None:
+    def __init__(self, discovery: OverloadedDiscovery, number: int) -> None:
         self.discovery = discovery
         self.number = number
 
     def watch_discovery(self, enabled: bool) -> None:
         self.discovery.watching[self.number] = False
         if enabled:
-            self.discovery.ask(self.number)
+            self.discovery.call(self.number)
 
     def start_timer(self, delay_us: int, timer: Timer) -> None:
         if timer is Timer.DISCOVERY_POLL:
-            self.discovery.after(delay_us, "wake", self.number)
+            self.discovery.after(delay_us, "timer", self.number)
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_all_sidecars_are_told_in_time_by_a_discovery_with_little_room(seed: int) -> None:
-    """Four fifths of what it can answer are asked for; each is told at least every six seconds."""
-    discovery = CrowdedDiscovery(sidecars=10, cost_us=320 * MS, room=1, seed=seed)
-    begun = discovery.now
-    discovery.run(begun + 120 * S)
-    for told in discovery.told_at.values():
-        gaps = [later - earlier for earlier, later in itertools.pairwise(told)]
-        assert max(gaps) < WATCH_US + TOLD_S * S
-        assert told[-1] > begun + 110 * S
+def test_all_instances_are_answered_in_time_by_a_discovery_with_little_capacity(seed: int) -> None:
+    """Four fifths of what it can answer are polled for; each is answered at least every six seconds."""
+    discovery = OverloadedDiscovery(instance_count=10, cost_us=320 * MS, capacity=1, seed=seed)
+    began = discovery.now
+    discovery.run(began + 120 * S)
+    for answered in discovery.answered_at.values():
+        gaps = [later - earlier for earlier, later in itertools.pairwise(answered)]
+        assert max(gaps) < WATCH_US + NOTIFIED_AFTER_S * S
+        assert answered[-1] > began + 110 * S
 
 
 @pytest.mark.parametrize("room", [0, 1])
 @pytest.mark.parametrize(("sidecars", "cost_ms"), [(4, 500), (7, 280), (30, 65), (200, 10)])
-def test_reloads_that_move_a_crowded_discovery_leave_nobody_untold(
+def test_address_changes_of_an_overloaded_discovery_leave_no_instance_without_answer(
     sidecars: int, cost_ms: int, room: int
 ) -> None:
-    """All calls together take 2 s; some sidecars were turned away at once for up to 24 s (docs/incidents)."""
+    """Guards against instances that are rejected at once for up to 24 s; all calls together take 2 s."""
     for seed in range(1, 4):
         scenario = Scenario(sidecars, cost_ms * MS, room, length_us=50 * S, seed=seed)
         figures = Fleet(scenario).play()
@@ -161,7 +161,7 @@
 
 @pytest.mark.parametrize(("sidecars", "cost_ms"), [(4, 250), (7, 150)])
 def test_where_three_in_ten_answers_are_lost_few_changes_are_known_late(sidecars: int, cost_ms: int) -> None:
-    """With watches of 4 s after each failure 7 and 8% were late, found only when the next wait was over."""
+    """Guards against long watches after a lost answer, whose own loss is found only when they are over."""
     plays = [
         Fleet(Scenario(sidecars, cost_ms * MS, room=1, lost_share=0.3, seed=seed)).play()
         for seed in range(1, 16)
@@ -170,35 +170,35 @@
     assert sum(figures.over for figures in plays) <= 0.03 * changes
 
 
-def test_waits_of_watches_grow_and_are_short_after_failures() -> None:
-    waits = WatchTimeout()
+def test_watch_timeouts_grow_and_are_short_after_failures() -> None:
+    timeout = WatchTimeout()
     grown = []
     for _ in range(5):
-        grown.append(waits.draw_ms(1.0))
-        waits.on_answer()
+        grown.append(timeout.draw_ms(1.0))
+        timeout.on_answer()
     assert grown == [FIRST_MS, 2 * FIRST_MS, 4 * FIRST_MS, MAX_MS, MAX_MS]
-    waits.on_failure(1 * S, WatchEventKind.REJECTED)
-    assert waits.draw_ms(1.0) == FIRST_MS
-    waits.on_failure(2 * S, WatchEventKind.LOST)
-    assert waits.draw_ms(1.0) == LOSSY_MS
-    waits.on_answer()
-    assert waits.draw_ms(1.0) == FIRST_MS
-    waits.on_interruption(2 * S + LOSSY_PERIOD_US - 1)
-    assert waits.draw_ms(1.0) == LOSSY_MS
-    waits.on_failure(2 * S + LOSSY_PERIOD_US, WatchEventKind.FAILED)
-    assert waits.draw_ms(1.0) == FIRST_MS
-    assert waits.draw_ms(0.0) == MIN_SHARE * FIRST_MS
-
-
-def turned_away(host: Host) -> int:
-    """The wait after a call that is refused at once."""
+    timeout.on_failure(1 * S, WatchEventKind.REJECTED)
+    assert timeout.draw_ms(1.0) == FIRST_MS
+    timeout.on_failure(2 * S, WatchEventKind.LOST)
+    assert timeout.draw_ms(1.0) == LOSSY_MS
+    timeout.on_answer()
+    assert timeout.draw_ms(1.0) == FIRST_MS
+    timeout.on_interruption(2 * S + LOSSY_PERIOD_US - 1)
+    assert timeout.draw_ms(1.0) == LOSSY_MS
+    timeout.on_failure(2 * S + LOSSY_PERIOD_US, WatchEventKind.FAILED)
+    assert timeout.draw_ms(1.0) == FIRST_MS
+    assert timeout.draw_ms(0.0) == MIN_SHARE * FIRST_MS
+
+
+def reject_at_once(host: Host) -> int:
+    """Return the wait after a call that is rejected at once, in microseconds."""
     host.timers.clear()
     host.balancer.on_watch_event(host.now, WatchEventKind.REJECTED, [])
     ((due, _),) = host.timers
     return due - host.now
 
 
-def asking_host(entries: int = 2) -> Host:
+def polling_host(entries: int = 2) -> Host:
     return Host(
         settings(
             discovery_mode=DiscoveryMode.POLL,
@@ -208,9 +208,9 @@
     )
 
 
-def test_after_an_answer_of_a_full_discovery_the_watch_rests() -> None:
-    host = asking_host()
-    host.advance(turned_away(host))
+def test_watch_rests_after_an_answer_of_an_overloaded_discovery() -> None:
+    host = polling_host()
+    host.advance(reject_at_once(host))
     host.did.clear()
     host.timers.clear()
     host.balancer.on_watch_event(host.now, WatchEventKind.FULL, endpoints(2))
@@ -219,42 +219,44 @@
     assert REST_US * 0.75 <= due - host.now <= REST_US * 1.25
     host.advance(due - host.now)
     assert host.did[-1] == ("watch_discovery", True)
-    assert turned_away(host) >= TOLD_S * S - YIELD_SLACK_US - REST_US * 1.25  # it yields: others need it more
+    yield_us = NOTIFIED_AFTER_S * S - YIELD_SLACK_US - REST_US * 1.25
+    assert reject_at_once(host) >= yield_us
 
 
-def test_after_a_bare_answer_the_next_call_follows_at_once_and_is_urgent() -> None:
-    """Seen on herd+brink: a watch ended in place of a drain, which counted as told at once."""
-    host = asking_host()
-    host.advance(turned_away(host))
+def test_after_an_empty_answer_the_watch_goes_on_and_its_retry_is_urgent() -> None:
+    """Guards against a watch that ends in place of a drain, which counts as notified at once."""
+    host = polling_host()
+    host.advance(reject_at_once(host))
     host.did.clear()
     host.balancer.on_watch_event(host.now, WatchEventKind.DELTA, [])
     assert host.did == []  # the watch goes on
-    assert turned_away(host) <= 1.5 * MAX_TURN_US
+    assert reject_at_once(host) <= 1.5 * MAX_TURN_US
 
 
-def test_the_oldest_ask_about_once_in_the_time_that_a_turn_takes() -> None:
-    """Asking every 0.12 s kept discovery from all else: 50 calls a second were turned away."""
-    for took_us in (10 * MS, 400 * MS, 5 * S):
-        host = asking_host()
-        turn_us = max(MIN_TURN_US, min(took_us, MAX_TURN_US))
-        host.advance(turned_away(host))
-        host.now += took_us
+def test_instances_that_waited_longest_poll_about_once_a_turn() -> None:
+    """Guards against polling so often that discovery does nothing but reject."""
+    for answer_us in (10 * MS, 400 * MS, 5 * S):
+        host = polling_host()
+        turn_us = max(MIN_TURN_US, min(answer_us, MAX_TURN_US))
+        host.advance(reject_at_once(host))
+        host.now += answer_us
         host.balancer.on_watch_event(host.now, WatchEventKind.FULL, endpoints(2))
-        host.now += int(TOLD_S * S)
+        host.now += int(NOTIFIED_AFTER_S * S)
         waits = []
         for _ in range(30):
             host.balancer.discovery.poll(host.now)
             host.balancer.discovery.turns.rejections = 0
-            waits.append(turned_away(host))
-        assert 0.5 * turn_us <= min(waits) and max(waits) <= 1.7 * turn_us
-        assert max(waits) - min(waits) > 0.5 * turn_us  # drawn, or they would come in step
+            waits.append(reject_at_once(host))
+        assert 0.5 * turn_us <= min(waits)
+        assert max(waits) <= 1.7 * turn_us
+        assert max(waits) - min(waits) > 0.5 * turn_us  # drawn, or instances would poll in step
         host.balancer.discovery.poll(host.now)
-        host.balancer.discovery.turns.rejections = 1000  # more is asked than can be answered
-        assert 0.5 * MAX_MEAN_WAIT_US <= turned_away(host) <= 1.5 * MAX_MEAN_WAIT_US
+        host.balancer.discovery.turns.rejections = 1000  # more is polled for than can be answered
+        assert 0.5 * MAX_MEAN_WAIT_US <= reject_at_once(host) <= 1.5 * MAX_MEAN_WAIT_US
 
 
-def test_of_moves_in_a_row_only_the_last_is_asked() -> None:
-    host = asking_host()
+def test_of_address_changes_in_a_row_only_the_last_is_polled() -> None:
+    host = polling_host()
     host.did.clear()
     host.timers.clear()
     host.balancer.on_discovery_moved(host.now)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings of the interface, and deployments with little in them."""
+"""Settings of an instance, and deployments with little in them."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 
 @pytest.mark.parametrize("count", [0, 1])
-def test_no_tenants_no_zones_and_hardly_an_endpoint(count: int) -> None:
+def test_no_tenants_no_zones_and_at_most_one_endpoint(count: int) -> None:
     host = Host(Settings(classes=(SAFE,)), endpoints(count, zone=""))
-    call = host.submit(tenant="")
+    request_id = host.submit(tenant="")
     if count:
         host.advance(10 * MS)
-        host.end_attempt(call, Outcome.OK)
+        host.end_attempt(request_id, Outcome.OK)
     host.advance(3 * S)
-    assert host.answers(call) == ([] if count else ["reject_request"])
+    assert host.answers(request_id) == ([] if count else ["reject_request"])
 
 
-def test_tenant_not_met_before_is_served() -> None:
+def test_unknown_tenant_is_served() -> None:
     host = Host(entries=endpoints(4))
     assert host.sends(host.submit(tenant="stranger"))
 
@@ -36,14 +36,14 @@
         replace(settings(), instance_count=0)
 
 
-def test_order_before_start_is_an_error() -> None:
+def test_request_before_start_is_an_error() -> None:
     host = Host(entries=endpoints(1))
     host.balancer.started = False
     with pytest.raises(RuntimeError, match="before start"):
         host.submit()
 
 
-def test_failed_subscription_is_renewed_with_growing_jittered_waits() -> None:
+def test_failed_watch_is_retried_with_exponential_backoff_and_jitter() -> None:
     waits = set()
     for seed in range(5):
         host = Host(settings(discovery_mode=DiscoveryMode.POLL), endpoints(2), seed=seed)
@@ -54,7 +54,7 @@
         assert len(host.timers) == 1
         host.advance(first)
         assert host.did.count(("watch_discovery", True)) == 2
-        host.advance(200 * MS)  # so long that call takes to fail: waits count from the beginning of one
+        host.advance(200 * MS)  # the call takes so long to fail: waits count from its beginning
         host.balancer.on_watch_event(host.now, WatchEventKind.FAILED, [])
         waits.add(first)
         assert 375 * MS <= first <= 750 * MS
@@ -62,7 +62,7 @@
     assert len(waits) == 5
 
 
-def test_new_process_under_a_known_id_starts_with_a_clean_record() -> None:
+def test_new_incarnation_under_a_known_id_starts_with_a_clean_record() -> None:
     host = Host(settings(instance_count=1), endpoints(4))
     bad = endpoints(4)[0]
     host.balancer.endpoints[bad.id].ejected_until = host.now + 9 * S
@@ -73,10 +73,10 @@
 
 def test_streamed_answer_belongs_to_the_client_from_its_start() -> None:
     host = Host(settings(classes=(replace(SAFE, streaming=True),)), endpoints(4))
-    call = host.submit()
-    host.balancer.on_response_start(host.now, call, 0)
+    request_id = host.submit()
+    host.balancer.on_response_start(host.now, request_id, 0)
     host.advance(9 * S)
-    host.end_attempt(call, Outcome.RESET, closed=True)
-    assert len(host.sends(call)) == 1
-    assert host.answers(call) == []
+    host.end_attempt(request_id, Outcome.RESET, closed=True)
+    assert len(host.sends(request_id)) == 1
+    assert host.answers(request_id) == []
     assert host.balancer.requests == {}
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -1,4 +1,4 @@
-"""The adapter: framing, settings, bad input, determinism."""
+"""The simulator's adapter: framing, malformed input, determinism."""
 
 from __future__ import annotations
 
@@ -44,18 +44,18 @@
         "order sidecar_1 00000000000000bb book - k-1 500000 900 1",
         "over_to_you",
     ]
-    said = play(START + batch)
-    assert "tail sidecar_1 1" in said
-    assert not any(line.startswith("tail sidecar_0") for line in said)
-    sends = [line.split(" ") for line in said if line.startswith("hand_off")]
+    replies = play(START + batch)
+    assert "tail sidecar_1 1" in replies
+    assert not any(line.startswith("tail sidecar_0") for line in replies)
+    sends = [line.split(" ") for line in replies if line.startswith("hand_off")]
     assert [s[1:3] for s in sends] == [["sidecar_0", "00000000000000aa"], ["sidecar_1", "00000000000000bb"]]
     assert sends[0][3] in ("10.0.0.1:80", "10.0.0.2:80")
     assert sends[1][3] == "10.0.0.9:80"
-    assert said.count("finished") == 2
+    assert replies.count("finished") == 2
 
 
-def test_every_event_is_taken_and_stop_then_start_forgets() -> None:
-    said = play(
+def test_every_message_is_accepted_and_a_restart_forgets() -> None:
+    replies = play(
         [
             *START,
             "sync 3000",
@@ -74,30 +74,30 @@
             "over_to_you",
         ]
     )
-    assert sum(line.startswith("hand_off sidecar_0 00000000000000aa") for line in said) == 2
-    assert any(line.startswith("timer sidecar_1") for line in said)
-    assert not any(line.startswith("broken") for line in said)
+    assert sum(line.startswith("hand_off sidecar_0 00000000000000aa") for line in replies) == 2
+    assert any(line.startswith("timer sidecar_1") for line in replies)
+    assert not any(line.startswith("broken") for line in replies)
 
 
-def test_a_load_report_reaches_the_module() -> None:
+def test_load_report_reaches_the_balancer() -> None:
     order = "order sidecar_0 00aa look first - 900000 - 0"
     sent = play([*START, "sync 2000", order, "over_to_you"])
     endpoint = next(line.split()[3] for line in sent if line.startswith("hand_off"))
     reply = f"reply sidecar_0 00aa 0 {endpoint} 500 1 10 pending:1,served_ps:9.5,svc_ms:12.5"
-    host = SimulatorAdapter(
+    adapter = SimulatorAdapter(
         io.StringIO(
             "\n".join([*START, "sync 2000", order, "over_to_you", "sync 3000", reply, "over_to_you", ""])
         ),
         io.StringIO(),
     )
-    host.run()
-    assert host.instances["sidecar_0"].services.newer.total == 1
+    adapter.run()
+    assert adapter.instances["sidecar_0"].services.newer.total == 1
 
 
-def test_exception_in_the_module_is_told() -> None:
+def test_exception_in_the_balancer_is_reported() -> None:
     twice = ["order sidecar_0 00000000000000aa look - - 500000 - 0"] * 2
-    said = play([*START, "sync 2000", *twice, "over_to_you"])
-    assert any(line.startswith("broken sidecar_0 RuntimeError: request 00000000000000aa") for line in said)
+    replies = play([*START, "sync 2000", *twice, "over_to_you"])
+    assert any(line.startswith("broken sidecar_0 RuntimeError: request 00000000000000aa") for line in replies)
 
 
 @pytest.mark.parametrize(
@@ -139,7 +139,7 @@
         play(START + cut)
 
 
-def test_end_of_input_is_a_good_end() -> None:
+def test_end_of_input_is_success() -> None:
     ended = subprocess.run(
         [sys.executable, "-m", "corkdoor.simulator"], input="", capture_output=True, text=True, check=False
     )
