--- a/corkdoor/sidecar/discovery/client.py
+++ b/corkdoor/sidecar/discovery/client.py
@@ -6,7 +6,6 @@
 import json
 from dataclasses import dataclass
 
-from corkdoor.sidecar.bounds import Budget
 from corkdoor.sidecar.clock import now_us
 from corkdoor.sidecar.discovery.endpoint_list import EndpointList, read_endpoint_list
 from corkdoor.sidecar.discovery.errors import (
@@ -17,8 +16,11 @@
     CallRejectedError,
     ConnectionClosedError,
 )
-from corkdoor.sidecar.stream import connect
-from corkdoor.sidecar.upstream import Connection, Response
+from corkdoor.sidecar.resource_limits import ByteBudget
+from corkdoor.sidecar.transport.connector import connect
+from corkdoor.sidecar.upstream.connection import Connection
+from corkdoor.sidecar.upstream.connection_state import RESPONSE_BEGUN, ConnectionState
+from corkdoor.sidecar.upstream.response import Response
 
 MAX_LIST_BYTES = 2 << 20  # an endpoint takes some 200
 POLL_TIMEOUT_S = 2.0
@@ -81,8 +83,8 @@
         Raises:
             OSError: it could not be opened; TimeoutError: not within `timeout_s` seconds.
         """
-        if self._connection is None or self._connection.lost:
-            opened = Connection(self, Budget(MAX_LIST_BYTES), MAX_LIST_BYTES)
+        if self._connection is None or self._connection.closed:
+            opened = Connection(self, ByteBudget(MAX_LIST_BYTES), MAX_LIST_BYTES)
             async with asyncio.timeout(timeout_s):
                 await connect(opened, self.host, self.port)
             self._connection = opened
@@ -113,7 +115,7 @@
     async def _complete_answer(self, answer: asyncio.Future[Response], connection: Connection) -> Response:
         """Wait for the answer; it may be long in coming, but may not stop once it has begun."""
         while not (await asyncio.wait((answer,), timeout=STALL_S))[0]:
-            if 0 < connection.heard_us < now_us() - STALL_S * 1e6:
+            if connection.stalled_since(now_us() - int(STALL_S * 1e6)):
                 raise AnswerStalledError(STALL_S)
         return answer.result()
 
@@ -129,8 +131,9 @@
         if self._answer is not None and not self._answer.done():
             self._answer.set_result(response)
 
-    def on_lost(self, connection: Connection) -> None:
+    def on_lost(self, connection: Connection, last_state: ConnectionState) -> None:
         """Fail the call whose connection ended."""
+        del connection  # only one is open
         if self._answer is not None and not self._answer.done():
-            answer_began = connection.cut or connection.heard_us > 0
+            answer_began = last_state in RESPONSE_BEGUN
             self._answer.set_exception(AnswerTruncatedError() if answer_began else ConnectionClosedError())
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -12,15 +12,16 @@
 
 from corkdoor import balancer
 from corkdoor.model import WatchEventKind
-from corkdoor.sidecar import server
+from corkdoor.sidecar.clients.backlog import MAX_WAITING_REQUESTS
+from corkdoor.sidecar.clients.timeouts import ClientTimeouts
 from corkdoor.sidecar.discovery.endpoint_list import read_endpoint_list
-from corkdoor.sidecar.upstream import Connection
+from corkdoor.sidecar.upstream.connection import Connection
 from tests.sidecar_support import SETUP, Client, Sidecar, first_asked, read_message, row, run
 
 
 async def noticed(sidecar: Sidecar) -> None:
     """Wait until no request of a caller is open, neither taken nor waiting behind another."""
-    while any(caller.busy for caller in sidecar.server.clients):
+    while any(caller.is_busy for caller in sidecar.server.clients):
         await asyncio.sleep(0.01)
 
 
@@ -37,7 +38,7 @@
 def test_client_that_leaves_while_its_request_is_held_in_the_queue() -> None:
     async def test() -> None:
         async with Sidecar(endpoints=1) as sidecar:
-            sidecar.proxy.on_list(WatchEventKind.FULL, [])  # nothing to send to: calls are held
+            sidecar.proxy.on_watch_event(WatchEventKind.FULL, [])  # nothing to send to: calls are held
             client, other = await sidecar.client(), await sidecar.client()
             client.send(request_id="held")
             while not sidecar.proxy.balancer.queue.count:
@@ -49,7 +50,7 @@
                 "reset": True,
                 "instances": [row("s-0", sidecar.endpoints[0].address)],
             }
-            sidecar.proxy.on_list(WatchEventKind.FULL, read_endpoint_list(document).entries)
+            sidecar.proxy.on_watch_event(WatchEventKind.FULL, read_endpoint_list(document).entries)
             await only_this_arrives(sidecar, other)
 
     run(test())
@@ -63,14 +64,14 @@
         allowed = {**SETUP["Allowed"], "MayCancel": cancellation_allowed, "ConnectTimeoutUs": 9_000_000}
         async with Sidecar(Allowed=allowed) as sidecar:
             up, gone = asyncio.Event(), asyncio.Event()
-            dial = sidecar.proxy.upstream.dial
+            connect = sidecar.proxy.upstream.connect
 
             async def late(*where: object) -> None:
-                await dial(*where)  # type: ignore[arg-type]
+                await connect(*where)  # type: ignore[arg-type]
                 up.set()
                 await gone.wait()
 
-            monkeypatch.setattr(sidecar.proxy.upstream, "dial", late)
+            monkeypatch.setattr(sidecar.proxy.upstream, "connect", late)
             client, other = await sidecar.client(), await sidecar.client()
             client.send(request_id="early")
             await up.wait()
@@ -100,7 +101,7 @@
     run(test())
 
 
-@pytest.mark.parametrize("behind", [1, server.MAX_WAITING])
+@pytest.mark.parametrize("behind", [1, MAX_WAITING_REQUESTS])
 def test_client_that_leaves_behind_its_earlier_request(behind: int) -> None:
     """With so many behind the first that nothing more is read, the loop is told of no end."""
 
@@ -111,9 +112,11 @@
             asked = await sidecar.endpoints[0].next()
             for _ in range(behind):
                 client.send(deadline_ms=3_000_000)
-            while not any(len(caller.waiting) == behind for caller in sidecar.server.clients):
+            while not any(caller.waiting_requests == behind for caller in sidecar.server.clients):
                 await asyncio.sleep(0.01)
-            assert any(caller.paused for caller in sidecar.server.clients) == (behind == server.MAX_WAITING)
+            assert any(caller.is_reading_paused for caller in sidecar.server.clients) == (
+                behind == MAX_WAITING_REQUESTS
+            )
             client.writer.close()
             assert await sidecar.endpoints[0].ends.get() == asked.connection  # the attempt is called off
             await only_this_arrives(sidecar, other)
@@ -122,24 +125,23 @@
     run(test())
 
 
-def test_client_that_leaves_with_its_answers_unread(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_client_that_leaves_with_its_answers_unread() -> None:
     """Its connection closes once these are read, and what waited behind them must not go out first."""
 
     async def test() -> None:
-        monkeypatch.setattr(server, "LINGER_S", 60.0)
-        async with Sidecar() as sidecar:
+        async with Sidecar(timeouts=ClientTimeouts(linger_s=60.0)) as sidecar:
             client, other = await sidecar.client(), await sidecar.client()
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
             port = client.writer.get_extra_info("sockname")[1]
-            (caller,) = [c for c in sidecar.server.clients if c.transport.peer_port() == port]
-            while not caller.stuck:
+            (caller,) = [c for c in sidecar.server.clients if c.peer_port() == port]
+            while not caller.is_output_blocked:
                 client.send()
                 (await sidecar.endpoints[0].next()).reply(200, b"x" * 65_000)
-                while caller.current is not None:
+                while caller.current_request is not None:
                     await asyncio.sleep(0.001)
             client.send(request_id="behind")
             client.writer.write_eof()
-            while not caller.ended:
+            while not caller.has_input_ended:
                 await asyncio.sleep(0.01)
             client.writer.transport.resume_reading()  # type: ignore[attr-defined]
             while caller in sidecar.server.clients:
@@ -188,13 +190,13 @@
 
 def nobody_listed(sidecar: Sidecar) -> None:
     """From here on calls are held, and the connections that rest are closed."""
-    sidecar.proxy.on_list(WatchEventKind.FULL, [])
+    sidecar.proxy.on_watch_event(WatchEventKind.FULL, [])
 
 
 def all_listed(sidecar: Sidecar) -> None:
     rows = [row(f"s-{i}", fake.address) for i, fake in enumerate(sidecar.endpoints)]
     document = {"generation": 2, "reset": True, "instances": rows}
-    sidecar.proxy.on_list(WatchEventKind.FULL, read_endpoint_list(document).entries)
+    sidecar.proxy.on_watch_event(WatchEventKind.FULL, read_endpoint_list(document).entries)
 
 
 async def warm(sidecar: Sidecar, each: int) -> None:
@@ -203,12 +205,12 @@
     for i, fake in enumerate(sidecar.endpoints):
         host, _, port = fake.address.rpartition(":")
         # As a list would place it that tells of no start.
-        upstream.place(f"s-{i}", host, int(port), 0)
+        upstream.put_endpoint(f"s-{i}", host, int(port), 0)
         for _ in range(each):
             connection = Connection(upstream.pools[f"s-{i}"], upstream.budget)
-            upstream.open += 1
-            await upstream.dial(connection, host, int(port))
-            upstream.pools[f"s-{i}"].rest(connection)
+            upstream.open_connections += 1
+            await upstream.connect(connection, host, int(port))
+            upstream.pools[f"s-{i}"].release(connection)
 
 
 async def held(sidecar: Sidecar, count: int) -> None:
@@ -234,9 +236,9 @@
             leave(client)
             all_listed(sidecar)
             await noticed(sidecar)
-            assert sidecar.proxy.upstream.tally["opened"] == 0
+            assert sidecar.proxy.upstream.counters["opened"] == 0
             await only_this_arrives(sidecar, other)
-            assert sidecar.proxy.tally["gone"] == 1
+            assert sidecar.proxy.counters["client_disconnects"] == 1
             assert not sidecar.proxy.requests
             client.close()
 
@@ -273,20 +275,20 @@
 ) -> None:
     async def test() -> None:
         async with Sidecar(Allowed={**SETUP["Allowed"], "ConnectTimeoutUs": 9_000_000}) as sidecar:
-            dial = sidecar.proxy.upstream.dial
+            connect = sidecar.proxy.upstream.connect
             client, other = blocking(sidecar), await sidecar.client()
 
             async def late(*where: object) -> None:
-                await dial(*where)  # type: ignore[arg-type]
+                await connect(*where)  # type: ignore[arg-type]
                 monkeypatch.undo()
                 leave(client)  # nothing comes between this and the attempt
 
-            monkeypatch.setattr(sidecar.proxy.upstream, "dial", late)
-            while not sidecar.proxy.upstream.tally["opened"]:
+            monkeypatch.setattr(sidecar.proxy.upstream, "connect", late)
+            while not sidecar.proxy.upstream.counters["opened"]:
                 await asyncio.sleep(0.01)
             await noticed(sidecar)
             await only_this_arrives(sidecar, other)
-            assert sidecar.proxy.tally["not_sent"] == 1
+            assert sidecar.proxy.counters["attempts_not_sent"] == 1
             assert not sidecar.proxy.requests
             client.close()
 
@@ -319,10 +321,10 @@
     async def test() -> None:
         async with Sidecar() as sidecar:
             client, other = blocking(sidecar, "first", 3_000_000), await sidecar.client()
-            for n in range(server.MAX_WAITING):
+            for n in range(MAX_WAITING_REQUESTS):
                 client.sendall(asks(f"behind-{n}", 3_000_000))
             asked = await sidecar.endpoints[0].next()
-            while not any(caller.paused for caller in sidecar.server.clients):
+            while not any(caller.is_reading_paused for caller in sidecar.server.clients):
                 await asyncio.sleep(0.01)
             asked.reply()
             leave(client)
@@ -367,7 +369,7 @@
             for task in serving:
                 task.cancel()
             assert sorted(arrived) == sorted(f"stays-{n}" for n in range(0, 100, 2))
-            assert sidecar.proxy.tally["gone"] == 50
+            assert sidecar.proxy.counters["client_disconnects"] == 50
             assert not sidecar.proxy.requests
 
     run(test())
--- a/tests/test_live_settings.py
+++ b/tests/test_live_settings.py
@@ -15,10 +15,11 @@
 
 from corkdoor.policy.discovery.poll_state import PollState
 from corkdoor.settings_reader import read_settings
-from corkdoor.sidecar import server
-from corkdoor.sidecar.bounds import Bounds
 from corkdoor.sidecar.config import Config, ConfigError, load
-from corkdoor.sidecar.upstream import Connection, Upstream
+from corkdoor.sidecar.resource_limits import ResourceLimits
+from corkdoor.sidecar.status_report import status_line
+from corkdoor.sidecar.upstream.connection import Connection
+from corkdoor.sidecar.upstream.manager import PoolManager
 from tests.sidecar_support import SETUP, Client, Fake, Program, Sidecar, listing, program, ready, row, run
 from tests.test_crowding import arrivals
 
@@ -26,11 +27,18 @@
 LOOK, HOLD, PAY = SETUP["Categories"]
 
 
-def changed(sidecar: Sidecar, digest: str = "d1", bounds: Bounds | None = None, **settings: Any) -> Config:
+def changed(
+    sidecar: Sidecar, digest: str = "d1", resource_limits: ResourceLimits | None = None, **settings: Any
+) -> Config:
     """The configuration in force, but for these settings."""
     now = sidecar.proxy.config
     setup = {**sidecar.setup, **settings}
-    return replace(now, settings=read_settings(setup), digest=digest, bounds=bounds or now.bounds)
+    return replace(
+        now,
+        settings=read_settings(setup),
+        digest=digest,
+        resource_limits=resource_limits or now.resource_limits,
+    )
 
 
 def reload(sidecar: Sidecar, **changes: Any) -> None:
@@ -51,7 +59,7 @@
             for client in clients:
                 client.send()
             out = [await queue.get() for _ in clients]
-            opened = sidecar.proxy.upstream.open
+            opened = sidecar.proxy.upstream.open_connections
             variants: list[dict[str, Any]] = [
                 without_pay(),
                 {"Categories": [{**PAY, "Effect": "idempotent", "AimUs": 500_000}, NEW]},
@@ -64,9 +72,9 @@
                     asked.reply()
             reload(sidecar, digest="last")
             assert [(await client.answer()).status for client in clients] == [200] * 200
-            assert sidecar.proxy.changes == 21
+            assert sidecar.proxy.settings_changes == 21
             assert len(sidecar.server.clients) == 200
-            assert sidecar.proxy.upstream.open == opened
+            assert sidecar.proxy.upstream.open_connections == opened
             assert queue.empty()
             for client in clients:  # what comes next on each connection is the next answer
                 client.send()
@@ -153,17 +161,17 @@
 
 
 def test_connections_come_up_in_the_time_that_is_now_told(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def dial(self: Upstream, connection: Connection, host: str, port: int) -> None:
+    async def connect(self: PoolManager, connection: Connection, host: str, port: int) -> None:
         await asyncio.Event().wait()
 
-    monkeypatch.setattr(Upstream, "dial", dial)
+    monkeypatch.setattr(PoolManager, "connect", connect)
 
     async def test() -> None:
         async with Sidecar(Allowed={**SETUP["Allowed"], "ConnectTimeoutUs": 60_000_000}) as sidecar:
             reload(sidecar, Allowed={**SETUP["Allowed"], "ConnectTimeoutUs": 20_000})
             client = await sidecar.client()
             assert (await client.ask(deadline_ms=60_000)).status == 503
-            assert sidecar.proxy.tally["connect_failed"]
+            assert sidecar.proxy.counters["attempts_connect_failed"]
 
     run(test())
 
@@ -179,7 +187,7 @@
             silent = [await sidecar.client() for _ in range(3)]
             while len(sidecar.server.clients) < 6:
                 await asyncio.sleep(0.001)
-            reload(sidecar, bounds=Bounds(2, 400, 1 << 24))
+            reload(sidecar, resource_limits=ResourceLimits(2, 400, 1 << 24))
             for client in silent:
                 assert await client.reader.read() == b""
             late = await sidecar.client()
@@ -193,7 +201,7 @@
             assert sorted(closed) == [False, False, True]
             while len(sidecar.server.clients) > 2:
                 await asyncio.sleep(0.001)
-            reload(sidecar, bounds=Bounds(6, 400, 1 << 24))
+            reload(sidecar, resource_limits=ResourceLimits(6, 400, 1 << 24))
             more = await sidecar.client()
             more.send()
             (await sidecar.endpoints[0].next()).reply()
@@ -202,9 +210,7 @@
     run(test())
 
 
-def test_callers_between_requests_make_room_past_a_lowered_bound_once_they_can_be_spared(
-    monkeypatch: pytest.MonkeyPatch,
-) -> None:
+def test_callers_between_requests_make_room_past_a_lowered_bound_once_they_can_be_spared() -> None:
     async def test() -> None:
         async with Sidecar() as sidecar:
             clients = [await sidecar.client() for _ in range(4)]
@@ -212,10 +218,10 @@
                 client.send()
                 (await sidecar.endpoints[0].next()).reply()
                 assert (await client.answer()).status == 200
-            monkeypatch.setattr(server, "SPARE_S", 3600.0)  # all have been in use just now
-            reload(sidecar, bounds=Bounds(2, 400, 1 << 24))
+            sidecar.server.clients.evictable_idle_s = 3600.0  # all have been in use just now
+            reload(sidecar, resource_limits=ResourceLimits(2, 400, 1 << 24))
             assert len(sidecar.server.clients) == 4
-            monkeypatch.setattr(server, "SPARE_S", 0.0)
+            sidecar.server.clients.evictable_idle_s = 0.0
             late = await sidecar.client()
             late.send()
             (await sidecar.endpoints[0].next()).reply()
@@ -236,15 +242,15 @@
                 asked.append(await fake.next())
             asked[0].reply()
             assert (await clients[0].answer()).status == 200
-            assert upstream.open == 4
-            reload(sidecar, bounds=Bounds(500, 2, 1 << 20))
+            assert upstream.open_connections == 4
+            reload(sidecar, resource_limits=ResourceLimits(500, 2, 1 << 20))
             assert await fake.ends.get() == asked[0].connection  # the idle one
-            assert (upstream.open, sidecar.proxy.budget.most) == (3, 1 << 20)
+            assert (upstream.open_connections, sidecar.proxy.budget.limit_bytes) == (3, 1 << 20)
             assert (await clients[0].ask()).status == 503  # no room for one more, and it was sent nowhere
             for one in asked[1:]:
                 one.reply()
             assert [(await client.answer()).status for client in clients[1:]] == [200] * 3
-            assert upstream.open == 2
+            assert upstream.open_connections == 2
             assert fake.connections == 4
 
     run(test())
@@ -291,10 +297,11 @@
     async def test() -> None:
         async with Sidecar() as sidecar:
             monkeypatch.setattr(sidecar.proxy.balancer, "reconfigure", None)
-            version = sidecar.proxy.version()
+            version = sidecar.proxy.version_fields()
             sidecar.server.reload(changed(sidecar, digest=sidecar.proxy.config.digest))
-            assert sidecar.proxy.version() == version
-            assert version in sidecar.proxy.report()
+            assert sidecar.proxy.version_fields() == version
+            stated = " ".join(f"{key}={value}" for key, value in version.items())
+            assert f" {stated} " in status_line(sidecar.proxy, 0, 0)
 
     run(test())
 
@@ -303,7 +310,7 @@
 def test_what_a_process_is_known_by_is_refused_with_all_the_rest(key: str) -> None:
     async def test() -> None:
         async with Sidecar() as sidecar:
-            config = changed(sidecar, bounds=Bounds(7, 7, 7), **without_pay())
+            config = changed(sidecar, resource_limits=ResourceLimits(7, 7, 7), **without_pay())
             if key == "Layer":
                 config = replace(config, settings=replace(config.settings, layer=1, layer_count=2))
             elif key == "name":
@@ -315,7 +322,7 @@
             with pytest.raises(ConfigError, match=f"{key}: .* can't become .* while the process runs"):
                 sidecar.server.reload(config)
             assert (sidecar.proxy.config, sidecar.proxy.balancer.settings) == before
-            assert (sidecar.server.most, sidecar.proxy.upstream.most) == (500, 400)
+            assert (sidecar.server.clients.limit, sidecar.proxy.upstream.max_connections) == (500, 400)
             assert sidecar.proxy.watcher.port == before[0].discovery.port
             client = await sidecar.client()
             client.send()
@@ -329,7 +336,7 @@
     async def test() -> None:
         async with Sidecar() as sidecar:
             reload(sidecar, Categories=[{**LOOK, "DeadlineUs": 700_000}])
-            assert sidecar.server.longest_s == 0.7
+            assert sidecar.server.admission.longest_deadline_s == 0.7
 
     run(test())
 
@@ -402,7 +409,7 @@
             await asyncio.gather(*load)
             serving.cancel()
             assert set(statuses) == {200}
-            await running.line_with("figures: callers 12 of")  # connections that never closed
+            await running.line_with("event=status clients=12 ")  # connections that never closed
 
     run(test())
 
@@ -416,7 +423,7 @@
             hang_up(running)
             digest = write(tmp_path, Categories=[{**PAY, "Name": "new"}])
             hang_up(running)
-            await running.line_with(f": settings {digest}")
+            await running.line_with(f" settings={digest} ")
             client = await running.client()
             client.send("new")
             (await running.endpoint.next()).reply()
@@ -435,14 +442,14 @@
             whole = file.read_text(encoding="utf-8")
             file.write_text(whole[: len(whole) // 2], encoding="utf-8")
             hang_up(running)
-            await running.line_with("the configuration is not taken: GW_CONFIG")
+            await running.line_with("event=config_rejected key=GW_CONFIG ")
             client = await running.client()
             client.send("pay")
             (await running.endpoint.next()).reply()
             assert (await client.answer()).status == 200
             file.write_text(whole, encoding="utf-8")
             hang_up(running)
-            await running.line_with(f"settings in force: settings {digest}")
+            await running.line_with(f"event=config_reloaded changed=True settings={digest} ")
             client.send("new")
             (await running.endpoint.next()).reply()
             assert (await client.answer()).status == 200
@@ -451,16 +458,16 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "why"),
+    ("change", "key", "reason"),
     [
-        ({"name": "n1"}, "name: n0 can't become n1"),
-        ({"settings": {**SETUP, "Layer": 1, "Tiers": ["a", "b"]}}, "settings: Layer: 0 can't become 1"),
-        ({"settings": {**SETUP, "Categories": []}}, "settings: Categories"),
-        ({"limits": {"sockets": 0}}, "limits.sockets"),
+        ({"name": "n1"}, "name", "n0 can't become n1"),
+        ({"settings": {**SETUP, "Layer": 1, "Tiers": ["a", "b"]}}, '"settings: Layer"', "0 can't become 1"),
+        ({"settings": {**SETUP, "Categories": []}}, "settings", "Categories"),
+        ({"limits": {"sockets": 0}}, "limits.sockets", "impossible value 0"),
     ],
 )
 def test_a_file_that_is_not_taken_is_logged_with_its_reason(
-    tmp_path: Path, change: dict[str, Any], why: str
+    tmp_path: Path, change: dict[str, Any], key: str, reason: str
 ) -> None:
     async def test() -> None:
         async with program(tmp_path, {}) as running:
@@ -468,7 +475,7 @@
             document = copy.deepcopy(json.loads(file.read_text(encoding="utf-8")))
             file.write_text(json.dumps({**document, **change}), encoding="utf-8")
             hang_up(running)
-            await running.line_with(f"the configuration is not taken: {why}")
+            await running.line_with(f'event=config_rejected key={key} reason="{reason}')
             client = await running.client()
             client.send("pay")
             (await running.endpoint.next()).reply()
@@ -488,7 +495,7 @@
             while await ready(other) == 200:
                 await asyncio.sleep(0.001)
             hang_up(running)
-            await running.line_with(f"settings in force: settings {digest}")
+            await running.line_with(f"event=config_reloaded changed=True settings={digest} ")
             asked.reply()
             assert (await client.answer()).status == 200
             assert await asyncio.to_thread(running.process.wait) == 0
