--- a/corkdoor/load_report.py
+++ b/corkdoor/load_report.py
@@ -5,6 +5,8 @@
 import math
 from typing import NamedTuple
 
+KEYS = ("pending", "served_ps", "svc_ms")
+
 
 class LoadReport(NamedTuple):
     """The load of one endpoint, from all of its clients together.
@@ -21,11 +23,16 @@
 
 
 def parse_load_report(text: str, separator: str) -> LoadReport | None:
-    """Parse `name=value` pairs, `separator` between the two; None where no valid service time is given."""
+    """Parse a report; None where it states no valid service time.
+
+    Args:
+        text: pairs of a key and a value, separated by commas; unknown keys are skipped.
+        separator: stands between a key and its value.
+    """
     pairs = (pair.strip().partition(separator) for pair in text.split(","))
-    figures = {name: value for name, _, value in pairs}
+    figures = {key: value for key, _, value in pairs}
     try:
-        queued, completed, service_ms = (float(figures.get(n, 0)) for n in ("pending", "served_ps", "svc_ms"))
+        queued, completed, service_ms = (float(figures.get(key, 0)) for key in KEYS)
     except ValueError:
         return None
     if not (0 <= queued < math.inf and 0 <= completed < math.inf and 0 < service_ms < math.inf):
--- a/corkdoor/model.py
+++ b/corkdoor/model.py
@@ -1,6 +1,6 @@
 """The values that the balancer and its host exchange: endpoints, outcomes, watch events and timers.
 
-The enums' values are the codes of the simulator's wire; only the adapter reads or writes them as such.
+Most enums' values are codes of the wire or of the settings; only the modules at those edges use them.
 """
 
 from __future__ import annotations
--- a/corkdoor/policy/discovery/failure_backoff.py
+++ b/corkdoor/policy/discovery/failure_backoff.py
@@ -45,12 +45,18 @@
 
 
 class FailureBackoff:
-    """The interval to the next call, which grows with each failure."""
+    """The interval to the next call, which grows with each failure.
+
+    Attributes:
+        limits: how far apart two calls may begin.
+        phase: what has become of the calls since the last answer.
+        interval_us: the next interval before jitter and limits, in microseconds.
+    """
 
     def __init__(self, limits: PollLimits) -> None:
         self.limits = limits
         self.phase = BackoffPhase.NONE_FAILED
-        self.interval_us = FIRST_INTERVAL_US  # before jitter and limits
+        self.interval_us = FIRST_INTERVAL_US
 
     def on_answer(self) -> None:
         """Start over: discovery has answered."""
@@ -65,14 +71,14 @@
         if self.phase is not BackoffPhase.NEW_ADDRESS:
             self.phase = BACKOFF_TRANSITIONS.check(self.phase, BackoffPhase.RETRYING)
 
-    def wait_us(self, kind: WatchEventKind, spent_us: int, retried: bool, jitter: float) -> int:
+    def wait_us(self, kind: WatchEventKind, spent_us: int, was_immediate_retry: bool, jitter: float) -> int:
         """Return the wait after a failed call, in microseconds, and lengthen the next one.
 
         Args:
             kind: how the call failed.
             spent_us: how long it took to fail, in microseconds.
-            retried: whether it was an immediate retry. A call that was no retry of any kind is a watch, whose
-                time is not counted.
+            was_immediate_retry: whether it was one. A call that was no retry of any kind is a watch, and its
+                time does not count: it may have been open for long.
             jitter: drawn from 0 to 1.
         """
         if kind is WatchEventKind.REJECTED:
@@ -80,7 +86,7 @@
         else:
             min_share, interval_us = MIN_SHARE_FAILED, self._failed_interval_us()
         share = min_share + (1 - min_share) * jitter
-        counted_us = spent_us if retried or self.phase is not BackoffPhase.NONE_FAILED else 0
+        counted_us = spent_us if was_immediate_retry or self.phase is not BackoffPhase.NONE_FAILED else 0
         self.interval_us = min(2 * self.interval_us, MAX_INTERVAL_US)
         self.on_failure()
         return max(int(interval_us * share) - counted_us, int(MIN_WAIT_US * share))
--- a/corkdoor/policy/discovery/fair_turns.py
+++ b/corkdoor/policy/discovery/fair_turns.py
@@ -30,12 +30,18 @@
 
 
 class FairTurns:
-    """Waits while discovery is overloaded."""
+    """Waits while discovery is overloaded.
+
+    Attributes:
+        turn_us: what a turn takes, in microseconds.
+        overloaded: whether a call found the queue full since the last rest.
+        rejections: such calls in a row.
+    """
 
     def __init__(self, settings: Settings, limits: PollLimits) -> None:
-        self.turn_us = FIRST_TURN_US  # what the last turn took
-        self.overloaded = False  # a call was rejected at once since the last rest
-        self.rejections = 0  # at once, in a row
+        self.turn_us = FIRST_TURN_US
+        self.overloaded = False
+        self.rejections = 0
         self.configure(settings, limits)
 
     def configure(self, settings: Settings, limits: PollLimits) -> None:
@@ -45,8 +51,8 @@
         rest_us = min(REST_US, settings.lifecycle.poll_interval_us // POLL_INTERVAL_PARTS)
         self.rest_us = rest_us if self.yielding else 0
 
-    def restart(self) -> None:
-        """Forget the rejections in a row: an answer has come, or the address has changed."""
+    def reset_rejections(self) -> None:
+        """Start over: an answer has come, or the address has changed."""
         self.rejections = 0
 
     def learn(self, spent_us: int) -> None:
@@ -57,11 +63,16 @@
         """
         self.turn_us = max(MIN_TURN_US, min(spent_us, MAX_TURN_US))
 
-    def rejected_at_once(self, kind: WatchEventKind, spent_us: int) -> bool:
-        """Return whether a call that failed so soon found the queue full, and remember that it did."""
-        rejected = kind is WatchEventKind.REJECTED and spent_us < REJECTED_AT_ONCE_US
-        self.overloaded |= rejected
-        return rejected
+    def record_failure(self, kind: WatchEventKind, spent_us: int) -> bool:
+        """Take note of a failed call, and return whether it found discovery's queue full.
+
+        Args:
+            kind: how the call failed.
+            spent_us: from its beginning to its failure, in microseconds.
+        """
+        queue_full = kind is WatchEventKind.REJECTED and spent_us < REJECTED_AT_ONCE_US
+        self.overloaded |= queue_full
+        return queue_full
 
     def wait_us(self, spent_us: int, slack_us: int, jitter: float) -> int:
         """Return the wait after a call that found the queue full, in microseconds.
--- a/corkdoor/policy/discovery/polling.py
+++ b/corkdoor/policy/discovery/polling.py
@@ -24,6 +24,17 @@
     """Opens and closes the watch on discovery, by what became of the last call.
 
     A call that is answered is followed by a watch, which the host keeps open by itself.
+
+    Args:
+        settings: the instance's settings.
+        now_us: the time, in microseconds.
+        actions: opens and closes the watch, and starts timers.
+        rng: of the jitter.
+
+    Attributes:
+        state: what polling does now.
+        next_poll_us: when a timer starts the next call; None while one is out.
+        freshness: how fresh the endpoint list is.
     """
 
     def __init__(self, settings: Settings, now_us: int, actions: Actions, rng: random.Random) -> None:
@@ -36,8 +47,8 @@
         self.backoff = FailureBackoff(limits)
         self.debounce = AddressDebounce()
         self.state = PollState.CALLING
-        self.call_began_us = now_us  # the call that is out, or the last one
-        self.next_poll_us: int | None = None  # when the timer starts the next call; None while one is out
+        self.next_poll_us: int | None = None
+        self.call_began_us = now_us  # that of the call that is out, or of the last one
 
     def configure(self, settings: Settings) -> None:
         """Put other settings in force."""
@@ -74,7 +85,8 @@
         """
         if not empty and not self.freshness.watch_open:
             self.turns.learn(now_us - self.call_began_us)
-        self._restart_rules(now_us)
+        self.call_began_us = now_us  # of the watch that follows
+        self._reset_retries()
         self.backoff.on_answer()
         self.freshness.on_answer(now_us, empty)
         rest_us = 0 if empty else self.turns.take_rest_us(self.random)
@@ -86,7 +98,8 @@
     def on_address_changed(self, now_us: int) -> None:
         """Poll discovery at its new address."""
         self.freshness.on_address_changed(now_us)
-        self._restart_rules(now_us)
+        self.call_began_us = now_us
+        self._reset_retries()
         self.backoff.on_address_changed()
         wait_us = self.debounce.wait_us(now_us)
         if wait_us:
@@ -94,23 +107,22 @@
         else:
             self.poll(now_us)
 
-    def _restart_rules(self, now_us: int) -> None:
-        self.call_began_us = now_us
+    def _reset_retries(self) -> None:
         self.immediate_retry.reset()
-        self.turns.restart()
+        self.turns.reset_rejections()
 
     def _wait_after_failure_us(self, now_us: int, kind: WatchEventKind, spent_us: int) -> int:
         # Guards against instances that poll in step after discovery has rejected them all.
         jitter = self.random.random()
-        overloaded = self.turns.rejected_at_once(kind, spent_us)
-        retried = self.immediate_retry.count > 0
+        queue_full = self.turns.record_failure(kind, spent_us)
+        was_immediate_retry = self.immediate_retry.count > 0
         wait_us = self.immediate_retry.wait_us(kind, jitter)
         if wait_us is not None:
             return wait_us
-        if overloaded:
+        if queue_full:
             self.backoff.on_failure()
             return self.turns.wait_us(spent_us, self.freshness.answer_due_us() - now_us, jitter)
-        return self.backoff.wait_us(kind, spent_us, retried, jitter)
+        return self.backoff.wait_us(kind, spent_us, was_immediate_retry, jitter)
 
     def _schedule(self, state: PollState, now_us: int, wait_us: int) -> None:
         self._enter(state, now_us + wait_us)
--- a/corkdoor/settings_reader.py
+++ b/corkdoor/settings_reader.py
@@ -1,6 +1,7 @@
 """Reads the settings object of one instance; only here are the keys of its JSON document named.
 
-Each settings type has one table: key, field, parser and default, side by side. Unknown keys are skipped.
+Each settings type has one table, with key, field and parser side by side; its defaults are those of the type.
+Unknown keys are skipped.
 """
 
 from __future__ import annotations
@@ -32,9 +33,8 @@
     parse_text,
 )
 
-Built = TypeVar("Built")
+Made = TypeVar("Made")
 
-REQUIRED = object()  # in place of a default
 REQUEST_WEIGHTS = ("Whole", "WorstWindow", "WorstTenant", "Availability")
 CLASS_WEIGHTS = ("WorstClass", "Tail")
 DEDUPLICATION_KEYS = frozenset(("Group", "DedupWindowUs"))  # required where repeats are deduplicated
@@ -47,157 +47,150 @@
         key: the key.
         field: the field of the settings type that it fills.
         parse: checks and converts its value.
-        default: the field's value where the key is absent or null; REQUIRED: that is an error.
+        required: whether it must be there; otherwise the field has a default.
     """
 
     key: str
     field: str
     parse: Parser
-    default: Any = REQUIRED
+    required: bool = False
 
 
-def _section(make: Callable[..., Any], keys: Sequence[SettingKey]) -> Parser:
-    """Return the parser of an object that fills a settings type of its own."""
-
-    def parse(value: object, key: str) -> Any:
-        return _build(make, keys, parse_object(value, key), f"{key}.")
-
-    return parse
-
-
-def _each(read: Callable[[Any, str], Built]) -> Parser:
-    """Return the parser of a list of objects."""
-
-    def parse(value: object, key: str) -> tuple[Built, ...]:
-        rows = parse_list(value, key)
-        return tuple(read(row, f"{key}[{index}]") for index, row in enumerate(rows))
-
-    return parse
+def _require_object(value: object, key: str) -> dict[str, Any]:
+    if not isinstance(value, dict):
+        raise SettingsError(key, "must be an object")
+    return value
 
 
-def _values(
-    keys: Sequence[SettingKey], table: dict[str, Any], prefix: str, required: Collection[str] = ()
+def _read_values(
+    keys: Sequence[SettingKey], table: dict[str, Any], prefix: str, also_required: Collection[str] = ()
 ) -> dict[str, Any]:
-    """Return the fields' values; the keys in `required` have no default here."""
+    """Return the values of the fields whose keys are there."""
     values = {}
-    for key, field, parse, default in keys:
+    for key, field, parse, required in keys:
         value = table.get(key)
         if value is not None:
             values[field] = parse(value, f"{prefix}{key}")
-        elif default is REQUIRED or key in required:
+        elif required or key in also_required:
             raise SettingsError(f"{prefix}{key}", "missing")
-        else:
-            values[field] = default
     return values
 
 
-def _build(
-    make: Callable[..., Built],
-    keys: Sequence[SettingKey],
-    table: dict[str, Any],
-    prefix: str,
-    required: Collection[str] = (),
-) -> Built:
-    return _make(make, keys, _values(keys, table, prefix, required), prefix)
-
-
-def _make(
-    make: Callable[..., Built], keys: Sequence[SettingKey], values: dict[str, Any], prefix: str
-) -> Built:
-    """Make a settings object; its complaint about a field names the field's key."""
+def _make(make: Callable[..., Made], keys: Sequence[SettingKey], values: dict[str, Any], prefix: str) -> Made:
+    """Make a settings object; its complaint about a field is worded with the field's key."""
     try:
         return make(**values)
     except SettingsError as error:
-        names = {field: key for key, field, _, _ in keys}
+        names = {setting.field: setting.key for setting in keys}
         raise SettingsError(f"{prefix}{names[error.key]}", error.reason) from None
 
 
-def _read_request_class(row: Any, key: str) -> RequestClass:
-    if not isinstance(row, dict):
-        raise SettingsError(key, "must be an object")
-    deduplicated = row.get("Effect") == Idempotency.WITH_KEY.value
-    required = DEDUPLICATION_KEYS if deduplicated else ()
-    return _build(RequestClass, REQUEST_CLASS, row, f"{key}.", required)
+def _section_parser(make: Callable[..., Any], keys: Sequence[SettingKey]) -> Parser:
+    """Return the parser of an object that fills a settings type of its own."""
 
+    def parse(value: object, key: str) -> Any:
+        prefix = f"{key}."
+        return _make(make, keys, _read_values(keys, parse_object(value, key), prefix), prefix)
+
+    return parse
+
+
+def _parse_request_classes(value: object, key: str) -> tuple[RequestClass, ...]:
+    rows = enumerate(parse_list(value, key))
+    return tuple(_read_request_class(row, f"{key}[{index}]") for index, row in rows)
 
-def _read_tenant(row: Any, key: str) -> Tenant:
-    if not isinstance(row, dict):
-        raise SettingsError(key, "must be an object")
-    return _build(Tenant, TENANT, row, f"{key}.")
 
+def _read_request_class(row: object, key: str) -> RequestClass:
+    table, prefix = _require_object(row, key), f"{key}."
+    deduplicated = table.get("Effect") == Idempotency.WITH_KEY.value
+    also_required = DEDUPLICATION_KEYS if deduplicated else ()
+    values = _read_values(REQUEST_CLASS, table, prefix, also_required)
+    return _make(RequestClass, REQUEST_CLASS, values, prefix)
 
-def _objective(value: object, key: str) -> Objective:
+
+def _parse_tenants(value: object, key: str) -> tuple[Tenant, ...]:
+    rows = enumerate(parse_list(value, key))
+    return tuple(_read_tenant(row, f"{key}[{index}]") for index, row in rows)
+
+
+def _read_tenant(row: object, key: str) -> Tenant:
+    table, prefix = _require_object(row, key), f"{key}."
+    return _make(Tenant, TENANT, _read_values(TENANT, table, prefix), prefix)
+
+
+def _parse_objective(value: object, key: str) -> Objective:
     """Add up the weights of the parts; without any part, single requests have them all."""
     parts = parse_object(value, key)
     if not parts:
         return Objective()
-    table = [SettingKey(name, name, parse_number, 0.0) for name in REQUEST_WEIGHTS + CLASS_WEIGHTS]
-    weights = _values(table, parts, f"{key}.")
+    weights = _read_values(WEIGHTS, parts, f"{key}.")
     for name, weight in weights.items():
         if weight < 0:
             raise SettingsError(f"{key}.{name}", "must not be negative")
     return Objective(
-        request_weight=sum(weights[name] for name in REQUEST_WEIGHTS),
-        class_weight=sum(weights[name] for name in CLASS_WEIGHTS),
+        request_weight=sum(weights.get(name, 0.0) for name in REQUEST_WEIGHTS),
+        class_weight=sum(weights.get(name, 0.0) for name in CLASS_WEIGHTS),
     )
 
 
 # --- tables ---
 
 REQUEST_CLASS = (
-    SettingKey("Effect", "idempotency", parse_choice(Idempotency)),
-    SettingKey("Name", "name", parse_text),
-    SettingKey("AimUs", "latency_objective_us", parse_integer),
-    SettingKey("DeadlineUs", "deadline_us", parse_integer),
-    SettingKey("Group", "deduplication_scope", parse_choice(DeduplicationScope), DeduplicationScope.ALL),
-    SettingKey("DedupWindowUs", "deduplication_window_us", parse_integer, 0),
-    SettingKey("Credit", "priority_weight", parse_number, 1.0),
-    SettingKey("LateShare", "late_answer_value", parse_number, 0.0),
-    SettingKey("Streaming", "streaming", parse_flag, False),
-    SettingKey("StaysIn", "allowed_zones", parse_names, None),
-    SettingKey("ServedOn", "allowed_machine_types", parse_names, None),
+    SettingKey("Effect", "idempotency", parse_choice(Idempotency), required=True),
+    SettingKey("Name", "name", parse_text, required=True),
+    SettingKey("AimUs", "latency_objective_us", parse_integer, required=True),
+    SettingKey("DeadlineUs", "deadline_us", parse_integer, required=True),
+    SettingKey("Group", "deduplication_scope", parse_choice(DeduplicationScope)),
+    SettingKey("DedupWindowUs", "deduplication_window_us", parse_integer),
+    SettingKey("Credit", "priority_weight", parse_number),
+    SettingKey("LateShare", "late_answer_value", parse_number),
+    SettingKey("Streaming", "streaming", parse_flag),
+    SettingKey("StaysIn", "allowed_zones", parse_names),
+    SettingKey("ServedOn", "allowed_machine_types", parse_names),
 )
 
 TENANT = (
-    SettingKey("Name", "name", parse_text),
-    SettingKey("Share", "weight", parse_number, 0.0),
-    SettingKey("QuotaPerS", "quota_per_s", parse_number, 0.0),
+    SettingKey("Name", "name", parse_text, required=True),
+    SettingKey("Share", "weight", parse_number),
+    SettingKey("QuotaPerS", "quota_per_s", parse_number),
 )
 
 LIMITS = (
-    SettingKey("MaxAttempts", "max_attempts", parse_integer, 3),
-    SettingKey("MaxRetryAfterUs", "max_retry_after_us", parse_integer, 1_000_000),
-    SettingKey("SecondCopies", "hedging_allowed", parse_flag, False),
-    SettingKey("MayCancel", "cancellation_allowed", parse_flag, False),
-    SettingKey("ConnIdleUs", "idle_connection_us", parse_integer, 0),
-    SettingKey("ConnectTimeoutUs", "connect_timeout_us", parse_integer, 250_000),
-    SettingKey("RetryAfter", "retry_after_allowed", parse_flag, False),
+    SettingKey("MaxAttempts", "max_attempts", parse_integer),
+    SettingKey("MaxRetryAfterUs", "max_retry_after_us", parse_integer),
+    SettingKey("SecondCopies", "hedging_allowed", parse_flag),
+    SettingKey("MayCancel", "cancellation_allowed", parse_flag),
+    SettingKey("ConnIdleUs", "idle_connection_us", parse_integer),
+    SettingKey("ConnectTimeoutUs", "connect_timeout_us", parse_integer),
+    SettingKey("RetryAfter", "retry_after_allowed", parse_flag),
 )
 
-COSTS = (SettingKey("CrossZone", "cross_zone", parse_number, 0.0),)
+WEIGHTS = tuple(SettingKey(name, name, parse_number) for name in REQUEST_WEIGHTS + CLASS_WEIGHTS)
+
+COSTS = (SettingKey("CrossZone", "cross_zone", parse_number),)
 
 LIFECYCLE = (
-    SettingKey("ColdUs", "slow_start_us", parse_integer, 10_000_000),
-    SettingKey("ColdFrom", "slow_start_initial_share", parse_number, 0.1),
-    SettingKey("OverloadFactor", "overload_factor", parse_number, 2.0),
-    SettingKey("DrainGraceUs", "drain_grace_us", parse_integer, 1_500_000),
-    SettingKey("AskEveryUs", "poll_interval_us", parse_integer, 10_000_000),
+    SettingKey("ColdUs", "slow_start_us", parse_integer),
+    SettingKey("ColdFrom", "slow_start_initial_share", parse_number),
+    SettingKey("OverloadFactor", "overload_factor", parse_number),
+    SettingKey("DrainGraceUs", "drain_grace_us", parse_integer),
+    SettingKey("AskEveryUs", "poll_interval_us", parse_integer),
 )
 
 SETTINGS = (
-    SettingKey("Categories", "classes", _each(_read_request_class)),
-    SettingKey("Parties", "tenants", _each(_read_tenant), ()),
-    SettingKey("Allowed", "limits", _section(Limits, LIMITS), Limits()),
-    SettingKey("Charges", "costs", _section(Costs, COSTS), Costs()),
-    SettingKey("Rules", "lifecycle", _section(LifecycleRules, LIFECYCLE), LifecycleRules()),
-    SettingKey("Goal", "objective", _objective, Objective()),
-    SettingKey("Layer", "layer", parse_integer, 0),
-    SettingKey("Tiers", "layer_count", parse_length, None),
-    SettingKey("Rank", "instance_index", parse_integer, 0),
-    SettingKey("Balancers", "instance_count", parse_integer, 1),
-    SettingKey("MyZone", "zone", parse_text, ""),
-    SettingKey("OverShareWorth", "over_quota_weight", parse_number, 1.0),
-    SettingKey("Discovery", "discovery_mode", parse_choice(DiscoveryMode), DiscoveryMode.PUSH),
+    SettingKey("Categories", "classes", _parse_request_classes, required=True),
+    SettingKey("Parties", "tenants", _parse_tenants),
+    SettingKey("Allowed", "limits", _section_parser(Limits, LIMITS)),
+    SettingKey("Charges", "costs", _section_parser(Costs, COSTS)),
+    SettingKey("Rules", "lifecycle", _section_parser(LifecycleRules, LIFECYCLE)),
+    SettingKey("Goal", "objective", _parse_objective),
+    SettingKey("Layer", "layer", parse_integer),
+    SettingKey("Tiers", "layer_count", parse_length),
+    SettingKey("Rank", "instance_index", parse_integer),
+    SettingKey("Balancers", "instance_count", parse_integer),
+    SettingKey("MyZone", "zone", parse_text),
+    SettingKey("OverShareWorth", "over_quota_weight", parse_number),
+    SettingKey("Discovery", "discovery_mode", parse_choice(DiscoveryMode)),
 )
 
 
@@ -208,9 +201,7 @@
         SettingsError: a key is missing or has an impossible value.
         OverflowError: a number is too large to be converted.
     """
-    if not isinstance(document, dict):
-        raise SettingsError("Setup", "must be an object")
-    values = _values(SETTINGS, document, "")
-    if values["layer_count"] is None:
-        values["layer_count"] = values["layer"] + 1
+    values = _read_values(SETTINGS, _require_object(document, "Setup"), "")
+    if "layer" in values:
+        values.setdefault("layer_count", values["layer"] + 1)
     return _make(Settings, SETTINGS, values, "")
