--- a/tests/test_state_machine.py
+++ b/tests/test_state_machine.py
@@ -37,7 +37,7 @@
 
 @pytest.fixture
 def logged(monkeypatch: pytest.MonkeyPatch) -> io.StringIO:
-    """What the tables of one test log, apart from the log in which every test looks for illegal transitions."""
+    """Return what a test logs here, apart from the log that every test searches for illegal transitions."""
     written = io.StringIO()
     logger = logging.Logger("test")
     handler = logging.StreamHandler(written)
