--- a/corkdoor/model.py
+++ b/corkdoor/model.py
@@ -78,16 +78,16 @@
         id: unique within the list.
         zone: the zone that it stands in; empty: unknown.
         machine_type: the type of its machine; empty: unknown.
-        cell: the deduplication cell; -1: none.
+        cell: the deduplication cell; None: it belongs to none.
         readiness: its listed state.
         weight: its capacity relative to its peers, above 0.
-        started_us: when its process started, on the host's clock, in microseconds; 0: long ago.
+        started_us: when its process started, on the host's clock, in microseconds; None: long ago.
     """
 
     id: str
     zone: str
     machine_type: str
-    cell: int
+    cell: int | None
     readiness: Readiness
     weight: float = 1.0
-    started_us: int = 0
+    started_us: int | None = None
--- a/corkdoor/policy/endpoint_state.py
+++ b/corkdoor/policy/endpoint_state.py
@@ -14,15 +14,15 @@
     """When an endpoint's process started.
 
     Attributes:
-        stated_us: as discovery states it, in microseconds; 0: long ago.
+        stated_us: as discovery states it, in microseconds; None: long ago.
         effective_us: as it counts, on this instance's clock, in microseconds; None: long ago.
     """
 
-    stated_us: int
+    stated_us: int | None
     effective_us: int | None
 
 
-LONG_AGO = ProcessStart(0, None)
+LONG_AGO = ProcessStart(None, None)
 
 
 class EndpointState:
@@ -36,7 +36,7 @@
         weight: its capacity relative to its peers.
         ready: whether it may be sent new requests.
         shared_order: its place in an order that all instances share and that says nothing of the ids.
-        stated_started_us: when its process started, as discovery states it; 0: long ago.
+        stated_started_us: when its process started, as discovery states it; None: long ago.
         started_us: when its process started, as it counts; None: long ago.
         in_flight: this instance's attempts that are out there.
         last_used_us: when a connection to it was last in use; None: never.
@@ -120,8 +120,8 @@
 OrderedEndpoints = dict[EndpointState, None]  # a set that iterates in order of insertion
 
 
-def _effective_start_us(stated_us: int, previous_list_us: int | None, now_us: int) -> int | None:
-    if not stated_us:
+def _effective_start_us(stated_us: int | None, previous_list_us: int | None, now_us: int) -> int | None:
+    if stated_us is None:
         return None
     earliest_us = stated_us if previous_list_us is None else max(stated_us, previous_list_us)
     return min(earliest_us, now_us)
--- a/corkdoor/policy/retry_safety.py
+++ b/corkdoor/policy/retry_safety.py
@@ -19,7 +19,7 @@
 
     sent_us: int
     zone: str
-    cell: int
+    cell: int | None
 
 
 def may_reject(idempotency: Idempotency, deduplication_scope: DeduplicationScope, may_have_run: bool) -> bool:
@@ -36,7 +36,7 @@
     first_run: FirstRun | None,
     now_us: int,
     zone: str,
-    cell: int,
+    cell: int | None,
 ) -> bool:
     """Return whether another attempt may go to an endpoint in this zone and cell.
 
@@ -47,7 +47,7 @@
         first_run: the earliest attempt that may have run.
         now_us: when the other attempt would be sent.
         zone: the endpoint's zone.
-        cell: the endpoint's deduplication cell.
+        cell: the endpoint's deduplication cell; None: it belongs to none.
     """
     if first_run is None or idempotency is Idempotency.IDEMPOTENT:
         return True
--- a/corkdoor/sidecar/discovery/endpoint_list.py
+++ b/corkdoor/sidecar/discovery/endpoint_list.py
@@ -63,7 +63,7 @@
         id=str(row["instanceId"]),
         zone=str(row.get("zone") or ""),
         machine_type=str(row.get("machineType") or ""),
-        cell=int(row["cell"]) if row.get("cell") is not None else -1,
+        cell=int(row["cell"]) if row.get("cell") is not None else None,
         readiness=Readiness(row["lifecycle"]),
         weight=weight if weight > 0 else DEFAULT_WEIGHT,
         started_us=_read_start_us(row.get("startedAtMs")),
@@ -79,9 +79,7 @@
     return host, int(port)
 
 
-def _read_start_us(started_ms: Any) -> int:
-    """Convert a Unix time to the monotonic clock, on which a start may lie before 0; 0: long ago."""
+def _read_start_us(started_ms: Any) -> int | None:
+    """Convert a Unix time to the monotonic clock, on which a start may lie before 0; None: long ago."""
     milliseconds = int(started_ms or 0)
-    if not milliseconds:
-        return 0
-    return milliseconds * 1000 - UNIX_OFFSET_US or 1
+    return milliseconds * 1000 - UNIX_OFFSET_US if milliseconds else None
--- a/corkdoor/sidecar/resend_guard.py
+++ b/corkdoor/sidecar/resend_guard.py
@@ -6,6 +6,7 @@
 from __future__ import annotations
 
 from collections.abc import Sequence
+from operator import attrgetter
 from typing import NamedTuple
 
 from corkdoor.model import Idempotency, Outcome
@@ -19,7 +20,7 @@
     """Where an endpoint stands: what groups of endpoints that drop repeats are made of."""
 
     zone: str
-    cell: int
+    cell: int | None
 
 
 class SentAttempt(NamedTuple):
@@ -54,7 +55,7 @@
         return False
     if not may_have_run:
         return True
-    first = min(may_have_run)
+    first = min(may_have_run, key=attrgetter("sent_us"))
     return may_resend(
         request_class.idempotency,
         request_class.deduplication_scope,
--- a/corkdoor/sidecar/upstream/manager.py
+++ b/corkdoor/sidecar/upstream/manager.py
@@ -91,7 +91,7 @@
 
     # --- endpoints ---
 
-    def put_endpoint(self, endpoint_id: str, host: str, port: int, started_us: int) -> None:
+    def put_endpoint(self, endpoint_id: str, host: str, port: int, started_us: int | None) -> None:
         """Add an endpoint that is ready; one with another address or process replaces the old one.
 
         A pool holds connections to one process only, so those of the old one close once they are free.
--- a/corkdoor/sidecar/upstream/pool.py
+++ b/corkdoor/sidecar/upstream/pool.py
@@ -25,7 +25,7 @@
         last_sent: what the log calls that attempt.
     """
 
-    def __init__(self, manager: PoolManager, host: str, port: int, started_us: int) -> None:
+    def __init__(self, manager: PoolManager, host: str, port: int, started_us: int | None) -> None:
         self.manager = manager
         self.host = host
         self.port = port
--- a/corkdoor/simulator/parser.py
+++ b/corkdoor/simulator/parser.py
@@ -228,15 +228,14 @@
     if parts[0] != PAGE_ROW or len(parts) - 1 != PAGE_ROW_VALUES:
         raise ProtocolError(f"a manifest takes rows of {PAGE_ROW_VALUES} values")
     _, endpoint_id, zone, machine_type, cell, readiness, weight, started_us = parts
-    cell_number = _optional_integer(cell, "Cohort")
     return Endpoint(
         id=endpoint_id,
         zone=zone,
         machine_type=machine_type,
-        cell=-1 if cell_number is None else cell_number,
+        cell=_optional_integer(cell, "Cohort"),
         readiness=_decode(READINESS, readiness, "Readiness"),
         weight=_parse_weight(weight),
-        started_us=_optional_integer(started_us, "LaunchedUs") or 0,
+        started_us=_optional_integer(started_us, "LaunchedUs") or None,  # 0: long ago
     )
 
 
--- a/tests/support.py
+++ b/tests/support.py
@@ -42,7 +42,7 @@
     return replace(base, **changes)
 
 
-def endpoints(count: int, zone: str = "east", start: int = 0, launched: int = 0) -> list[Endpoint]:
+def endpoints(count: int, zone: str = "east", start: int = 0, launched: int | None = None) -> list[Endpoint]:
     return [
         Endpoint(f"10.0.{i // 250}.{i % 250}:80", zone, "std", i // 4, Readiness.READY, 1.0, launched)
         for i in range(start, start + count)
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -46,8 +46,10 @@
 
     def warmth(self, now: int) -> float:
         """The part of its capacity that it has: it grows evenly."""
+        if self.entry.started_us is None:
+            return 1.0
         age = now - self.entry.started_us
-        if not self.entry.started_us or age >= RULES.slow_start_us:
+        if age >= RULES.slow_start_us:
             return 1.0
         return (
             RULES.slow_start_initial_share
@@ -90,7 +92,7 @@
             while self.got[first] <= at - WINDOW_US:
                 first += 1
             # The capacity that it had as the window began: the least in it.
-            begun = max(self.got[first], self.entry.started_us)
+            begun = max(self.got[first], self.entry.started_us or 0)
             if self.warmth(begun) < 1.0:
                 budget = self.world.factor * PER_S * self.warmth(begun) * WINDOW_US / S
                 most = max(most, (last - first + 1) / (budget + 2 * math.sqrt(budget) + 2))
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -302,10 +302,11 @@
     document = json.loads(listing(1, True, row("s-0", "127.0.0.1:80", started_ms=started_ms)))
     first, second = (read_endpoint_list(document).entries[0].endpoint for _ in range(2))
     assert first.started_us == second.started_us  # a change would look like another restart
+    assert first.started_us is not None
     assert abs(now_us() - first.started_us - 2_000_000) < 1_000_000
     assert first.readiness is Readiness.READY
     long_ago = json.loads(listing(1, True, row("s-0", "127.0.0.1:80")))
-    assert read_endpoint_list(long_ago).entries[0].endpoint.started_us == 0
+    assert read_endpoint_list(long_ago).entries[0].endpoint.started_us is None
 
 
 def test_alarms_never_ring_early() -> None:
