--- a/corkdoor/balancer.py
+++ b/corkdoor/balancer.py
@@ -106,7 +106,7 @@
         if self.queue.count:
             self._dispatch(now_us)
 
-    def on_discovery_moved(self, now_us: int) -> None:
+    def on_discovery_address_changed(self, now_us: int) -> None:
         """Discovery has another address and has not been called there."""
         self.discovery.on_address_changed(now_us)
 
@@ -263,7 +263,7 @@
         if endpoint.in_flight >= MIN_IN_FLIGHT:
             self.rules.impaired[endpoint] = None
         pool.limit.in_flight += 1
-        self._actions.send_attempt(request.id, endpoint.id, 0)
+        self._actions.send_attempt(request.id, endpoint.id)
 
     def on_response_start(self, now_us: int, request_id: str, attempt: int) -> None:
         """The answer of a streaming class has begun: no other answer is owed."""
--- a/corkdoor/interface.py
+++ b/corkdoor/interface.py
@@ -18,14 +18,14 @@
 class Actions(Protocol):
     """What the balancer asks of its host; each action takes effect at once."""
 
-    def send_attempt(self, request_id: str, endpoint_id: str, max_wait_us: int) -> None:
-        """Send an attempt; it times out after `max_wait_us`, or at the request's deadline where that is 0."""
+    def send_attempt(self, request_id: str, endpoint_id: str) -> None:
+        """Send an attempt; it times out when the request is due."""
 
     def cancel_attempt(self, request_id: str, attempt: int) -> None:
         """Stop waiting for one attempt."""
 
-    def reject_request(self, request_id: str, retry_after_us: int) -> None:
-        """Final answer: rejected with a promise of no effect; 0 sends no Retry-After."""
+    def reject_request(self, request_id: str, retry_after_us: int | None) -> None:
+        """Final answer: rejected with a promise of no effect; without Retry-After where that is None."""
 
     def fail_request(self, request_id: str) -> None:
         """Final answer: failed, and the request may have run."""
@@ -55,7 +55,7 @@
     def on_watch_event(self, now_us: int, kind: WatchEventKind, endpoints: Sequence[Endpoint]) -> None:
         """Discovery, or a call to it, brought something."""
 
-    def on_discovery_moved(self, now_us: int) -> None:
+    def on_discovery_address_changed(self, now_us: int) -> None:
         """Discovery has another address and has not been called there."""
 
     def on_request(
--- a/corkdoor/policy/rejections.py
+++ b/corkdoor/policy/rejections.py
@@ -55,12 +55,12 @@
         may_have_run = request.first_run is not None or bool(request.outstanding)
         return may_reject(request_class.idempotency, request_class.deduplication_scope, may_have_run)
 
-    def draw_retry_after_us(self) -> int:
-        """Return the Retry-After of one rejection, 0 where none is sent.
+    def draw_retry_after_us(self) -> int | None:
+        """Return the Retry-After of one rejection, None where none is sent.
 
         It is drawn anew each time, or clients would come back together.
         """
         limits = self._limits
         if not limits.retry_after_allowed:
-            return 0
+            return None
         return int(limits.max_retry_after_us * MIN_RETRY_AFTER_SHARE * (1 + self._random.random()))
--- a/corkdoor/sidecar/attempt_sender.py
+++ b/corkdoor/sidecar/attempt_sender.py
@@ -13,7 +13,7 @@
 from corkdoor.model import Outcome
 from corkdoor.settings import Limits
 from corkdoor.sidecar.balancer_events import notify
-from corkdoor.sidecar.clock import Alarm, now_us
+from corkdoor.sidecar.clock import now_us
 from corkdoor.sidecar.invariants import Invariant, InvariantLog
 from corkdoor.sidecar.proxied_request import ProxiedRequest
 from corkdoor.sidecar.request_registry import RequestRegistry
@@ -49,16 +49,13 @@
         self._pools = pools
         self._invariants = invariants
 
-    def send(self, request_id: str, endpoint_id: str, max_wait_us: int) -> None:
-        """Send an attempt that times out after `max_wait_us`, or with the request where that is 0."""
+    def send(self, request_id: str, endpoint_id: str) -> None:
+        """Send an attempt that times out with the request."""
         request = self._requests.find(request_id)
         if request is None:
             log.error(LogEvent("attempt_for_unknown_request", request=request_id))
             return
-        until_us = request.answer_by_us
-        if max_wait_us:
-            until_us = min(until_us, now_us() + max_wait_us)
-        attempt = self._new_attempt(request, endpoint_id, until_us)
+        attempt = self._new_attempt(request, endpoint_id)
         if request.attempts:
             last = request.attempts[-1].outcome
             self.counters[f"retries_after_{last.name.lower() if last else 'no_outcome_yet'}"] += 1
@@ -66,8 +63,6 @@
         if request.closed or attempt.number >= self.limits.max_attempts:
             asyncio.get_running_loop().call_soon(attempt.end, Outcome.NOT_SENT)
             return
-        if until_us < request.answer_by_us:
-            attempt.timeout = Alarm(until_us, partial(self._pools.cancel, attempt, Outcome.TIMEOUT))
         self._pools.send(attempt)
 
     def cancel(self, request_id: str, number: int) -> None:
@@ -77,26 +72,26 @@
             attempt = request.attempts[number]
             asyncio.get_running_loop().call_soon(self._pools.cancel, attempt, Outcome.CANCELLED)
 
-    def _new_attempt(self, request: ProxiedRequest, endpoint_id: str, until_us: int) -> Attempt:
+    def _new_attempt(self, request: ProxiedRequest, endpoint_id: str) -> Attempt:
         number = len(request.attempts)
         endpoint = self._balancer.endpoints[endpoint_id]
         return Attempt(
             number,
             endpoint_id,
             Location(endpoint.zone, endpoint.cell),
-            partial(self._encode, request, until_us=until_us),
+            partial(self._encode, request),
             partial(self._on_end, request),
             f"{request.client.label()} attempt {number}",
         )
 
-    def _encode(self, request: ProxiedRequest, attempt: Attempt, until_us: int) -> bytes | None:
+    def _encode(self, request: ProxiedRequest, attempt: Attempt) -> bytes | None:
         """Return the bytes of an attempt that is written now, or None where the guard leaves it out.
 
         Called at the last moment: on a busy loop, or while nothing is read from the client, its disconnect
         waits in the kernel behind the very event that sends the attempt.
         """
         now = now_us()
-        remaining_ms = (until_us - now) // 1000
+        remaining_ms = (request.answer_by_us - now) // 1000
         violated = self._check_send(request, attempt, remaining_ms, now)
         if violated is None:
             return b"%sReq-Deadline-Ms: %d\r\n\r\n%s" % (request.head, remaining_ms, request.body)
--- a/corkdoor/sidecar/proxy.py
+++ b/corkdoor/sidecar/proxy.py
@@ -127,7 +127,7 @@
         """Watch at another address; at the same one the watch stays open, since each new one costs a list."""
         if (address.host, address.port) != (self.watcher.host, self.watcher.port):
             self.watcher.change_address(address.host, address.port)
-            if not notify(self.balancer.on_discovery_moved):
+            if not notify(self.balancer.on_discovery_address_changed):
                 self.watcher.start()
 
     def version_fields(self) -> dict[str, object]:
@@ -154,19 +154,19 @@
 
     # --- the balancer's actions ---
 
-    def send_attempt(self, request_id: str, endpoint_id: str, max_wait_us: int) -> None:
+    def send_attempt(self, request_id: str, endpoint_id: str) -> None:
         """Send an attempt."""
-        self.attempts.send(request_id, endpoint_id, max_wait_us)
+        self.attempts.send(request_id, endpoint_id)
 
     def cancel_attempt(self, request_id: str, attempt: int) -> None:
         """Stop waiting for one attempt."""
         self.attempts.cancel(request_id, attempt)
 
-    def reject_request(self, request_id: str, retry_after_us: int) -> None:
+    def reject_request(self, request_id: str, retry_after_us: int | None) -> None:
         """Answer 503, with Retry-After where a time is given."""
         request = self.requests.find(request_id)
         if request is not None:
-            headers = [(b"Retry-After", b"%.3f" % (retry_after_us / 1e6))] if retry_after_us > 0 else []
+            headers = [(b"Retry-After", b"%.3f" % (retry_after_us / 1e6))] if retry_after_us else []
             self.requests.answer(request, HTTPStatus.SERVICE_UNAVAILABLE, headers)
 
     def fail_request(self, request_id: str) -> None:
--- a/corkdoor/sidecar/upstream/attempt.py
+++ b/corkdoor/sidecar/upstream/attempt.py
@@ -6,7 +6,7 @@
 from enum import auto
 
 from corkdoor.model import Outcome
-from corkdoor.sidecar.clock import Alarm, now_us
+from corkdoor.sidecar.clock import now_us
 from corkdoor.sidecar.resend_guard import Location
 from corkdoor.sidecar.upstream.connection import Connection
 from corkdoor.sidecar.upstream.response import Response
@@ -47,7 +47,6 @@
         outcome: how it ended; None: it has not.
         started_us: when it was asked for.
         sent_us: when its bytes were given to the kernel; None: they were not.
-        timeout: its own timeout, where that is shorter than the request's.
         connection: the one that carries it.
     """
 
@@ -63,7 +62,6 @@
         "sent_us",
         "started_us",
         "state",
-        "timeout",
     )
 
     def __init__(
@@ -85,7 +83,6 @@
         self.outcome: Outcome | None = None
         self.started_us = now_us()
         self.sent_us: int | None = None
-        self.timeout: Alarm | None = None
         self.connection: Connection | None = None
 
     @property
@@ -107,9 +104,6 @@
         self.state = ATTEMPT_STATES.check(self.state, AttemptState.ENDED)
         self.outcome = outcome
         self.connection = None
-        if self.timeout is not None:
-            self.timeout.cancel()
-            self.timeout = None  # it refers to this attempt, which would leave a reference cycle
         self.on_end(self, outcome, response)
 
     def outcome_name(self) -> str:
--- a/corkdoor/simulator/writer.py
+++ b/corkdoor/simulator/writer.py
@@ -5,6 +5,9 @@
 from corkdoor.log_events import LogEvent
 from corkdoor.model import Timer
 
+UNTIL_DEADLINE = 0  # in place of an attempt's own timeout
+NO_RETRY_AFTER = 0
+
 
 class ActionWriter:
     """The actions of one instance, appended to the reply of the batch.
@@ -20,17 +23,17 @@
         self.instance = instance
         self.lines = lines
 
-    def send_attempt(self, request_id: str, endpoint_id: str, max_wait_us: int) -> None:
+    def send_attempt(self, request_id: str, endpoint_id: str) -> None:
         """Send an attempt."""
-        self.lines.append(f"hand_off {self.instance} {request_id} {endpoint_id} {max_wait_us}")
+        self.lines.append(f"hand_off {self.instance} {request_id} {endpoint_id} {UNTIL_DEADLINE}")
 
     def cancel_attempt(self, request_id: str, attempt: int) -> None:
         """Cancel an attempt."""
         self.lines.append(f"cancel {self.instance} {request_id} {attempt}")
 
-    def reject_request(self, request_id: str, retry_after_us: int) -> None:
+    def reject_request(self, request_id: str, retry_after_us: int | None) -> None:
         """Reject a request."""
-        self.lines.append(f"shed {self.instance} {request_id} {retry_after_us}")
+        self.lines.append(f"shed {self.instance} {request_id} {retry_after_us or NO_RETRY_AFTER}")
 
     def fail_request(self, request_id: str) -> None:
         """Fail a request."""
--- a/emulator/crowded_discovery.py
+++ b/emulator/crowded_discovery.py
@@ -191,7 +191,7 @@
         """A reload names another address of the same discovery."""
         self.watch_discovery(False)
         self.moved, self.moved_us = True, self.fleet.events.now
-        self.balancer.on_discovery_moved(self.fleet.events.now)
+        self.balancer.on_discovery_address_changed(self.fleet.events.now)
 
     # --- the module's actions ---
 
--- a/emulator/hollow.py
+++ b/emulator/hollow.py
@@ -113,7 +113,7 @@
         """One synthetic call."""
         notify(self.balancer.on_request, call, class_name, "acme", deadline_us, None)
 
-    def send_attempt(self, request_id: str, endpoint_id: str, max_wait_us: int) -> None:
+    def send_attempt(self, request_id: str, endpoint_id: str) -> None:
         number = self.tries[request_id] = self.tries.get(request_id, -1) + 1
         delay_s = self.process.service_s()
         loop = asyncio.get_running_loop()
@@ -127,7 +127,7 @@
         spent = now_us() - sent_us
         notify(self.balancer.on_attempt_end, call, number, endpoint, spent, True, Outcome.OK, None)
 
-    def reject_request(self, request_id: str, retry_after_us: int) -> None:
+    def reject_request(self, request_id: str, retry_after_us: int | None) -> None:
         self.tries.pop(request_id, None)
         self.process.ended["shed"] += 1
 
--- a/tests/support.py
+++ b/tests/support.py
@@ -73,14 +73,14 @@
         self.balancer.on_watch_event(now, WatchEventKind.CACHED, list(entries))
 
     # actions
-    def send_attempt(self, request_id: str, endpoint_id: str, max_wait_us: int) -> None:
-        self.did.append(("send_attempt", request_id, endpoint_id, max_wait_us))
+    def send_attempt(self, request_id: str, endpoint_id: str) -> None:
+        self.did.append(("send_attempt", request_id, endpoint_id))
         self.sent.setdefault(request_id, []).append(endpoint_id)
 
     def cancel_attempt(self, request_id: str, attempt: int) -> None:
         self.did.append(("cancel_attempt", request_id, attempt))
 
-    def reject_request(self, request_id: str, retry_after_us: int) -> None:
+    def reject_request(self, request_id: str, retry_after_us: int | None) -> None:
         self.did.append(("reject_request", request_id, retry_after_us))
 
     def fail_request(self, request_id: str) -> None:
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -107,7 +107,7 @@
         self.open: set[str] = set()
         super().__init__(chosen, entries, seed=seed, now=world.now)
 
-    def send_attempt(self, request_id: str, endpoint_id: str, max_wait_us: int) -> None:
+    def send_attempt(self, request_id: str, endpoint_id: str) -> None:
         sent = self.sent.setdefault(request_id, [])
         sent.append(endpoint_id)
         # Later: no outcome reaches the module within its own call.
@@ -127,7 +127,7 @@
         self.now = self.world.now
         self.balancer.on_timer(self.now, timer)
 
-    def reject_request(self, request_id: str, retry_after_us: int) -> None:
+    def reject_request(self, request_id: str, retry_after_us: int | None) -> None:
         self.open.discard(request_id)
 
     def fail_request(self, request_id: str) -> None:
--- a/tests/test_discovery_polling.py
+++ b/tests/test_discovery_polling.py
@@ -92,7 +92,7 @@
     rules = LifecycleRules(poll_interval_us=poll_interval_us)
     host = Host(settings(discovery_mode=mode, lifecycle=rules), seed=seed)
     if address_changed:
-        host.balancer.on_discovery_moved(host.now)
+        host.balancer.on_discovery_address_changed(host.now)
     bound = (
         max(FIRST_INTERVAL_US, 3 * poll_interval_us)
         if mode is DiscoveryMode.POLL
@@ -149,7 +149,7 @@
     states.append(polling.state)
     assert polling.backoff.phase.name == "NONE_FAILED"
     for _ in range(2):
-        host.balancer.on_discovery_moved(host.now)
+        host.balancer.on_discovery_address_changed(host.now)
         states.append(polling.state)
         assert polling.backoff.phase.name == "NEW_ADDRESS"
     host.advance(SETTLE_US)
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -95,8 +95,8 @@
         async with Sidecar(endpoints=2) as sidecar:
             _, client = await one_attempt(sidecar, "pay")
             (call,) = sidecar.proxy.requests
-            sidecar.proxy.send_attempt(call, "s-1", 0)
-            sidecar.proxy.send_attempt(call, "s-0", 0)
+            sidecar.proxy.send_attempt(call, "s-1")
+            sidecar.proxy.send_attempt(call, "s-0")
             while sum(a.ended for a in sidecar.proxy.requests[call].attempts) < 2:
                 await asyncio.sleep(0.01)
             assert sidecar.proxy.invariants.prevented[Invariant.UNSAFE_RETRY] == 2
--- a/tests/test_overloaded_discovery.py
+++ b/tests/test_overloaded_discovery.py
@@ -259,14 +259,14 @@
     host = polling_host()
     host.did.clear()
     host.timers.clear()
-    host.balancer.on_discovery_moved(host.now)
+    host.balancer.on_discovery_address_changed(host.now)
     assert host.did == [("watch_discovery", True)]
     for _ in range(3):
         host.now += SETTLE_US - 1
-        host.balancer.on_discovery_moved(host.now)
+        host.balancer.on_discovery_address_changed(host.now)
     assert host.did == [("watch_discovery", True)]
     host.advance(SETTLE_US)
     assert host.did == [("watch_discovery", True)] * 2
     host.now += SETTLE_US
-    host.balancer.on_discovery_moved(host.now)
+    host.balancer.on_discovery_address_changed(host.now)
     assert host.did == [("watch_discovery", True)] * 3
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -340,7 +340,7 @@
     while host.balancer.requests:
         answer(Outcome.TIMEOUT)
         host.advance(4 * S)
-    for _, call, endpoint, _ in host.sends():
+    for _, call, endpoint in host.sends():
         class_name = classes[grades[call]]
         zone, kind = places[endpoint]
         assert class_name.allowed_zones is None or zone in class_name.allowed_zones
