--- a/corkdoor/balancer.py
+++ b/corkdoor/balancer.py
@@ -15,7 +15,10 @@
 from corkdoor.load_report import LoadReport
 from corkdoor.model import DiscoveryMode, Endpoint, Outcome, Timer, WatchEventKind
 from corkdoor.policy.discovery.polling import DiscoveryPolling
-from corkdoor.policy.placements import Placement
+from corkdoor.policy.endpoint_pool import EndpointPool
+from corkdoor.policy.endpoint_state import EndpointState
+from corkdoor.policy.errors import DuplicateRequestError, FixedSettingError, NotStartedError
+from corkdoor.policy.placement import Placement
 from corkdoor.policy.rejections import RejectionReason
 from corkdoor.policy.request import Attempt, Request
 from corkdoor.policy.request_state import RequestState
@@ -25,7 +28,7 @@
 from corkdoor.settings import Settings
 
 QUEUE_SWEEP_US = 20_000  # how often the queue and the pending hedges are looked at
-FAILED_CALLS = frozenset((WatchEventKind.FAILED, WatchEventKind.REJECTED, WatchEventKind.LOST))
+FAILED_POLLS = frozenset((WatchEventKind.FAILED, WatchEventKind.REJECTED, WatchEventKind.LOST))
 
 
 class Balancer:
@@ -44,7 +47,7 @@
         rules: all rules.
         queue: the requests that wait for capacity.
         endpoints: the endpoints that are listed, or that have attempts in flight, by id.
-        discovery: the calls to discovery.
+        discovery: the polls of discovery.
     """
 
     def __init__(self, settings: Settings, seed: int, actions: Actions) -> None:
@@ -72,11 +75,11 @@
         """Put other settings in force. Requests that are here keep their class and the endpoints it may use.
 
         Raises:
-            ValueError: for a setting that can't change; nothing has changed then.
+            FixedSettingError: for a setting that can't change; nothing has changed then.
         """
         previous = self.settings
         if settings.layer != previous.layer:
-            raise ValueError("Layer: it can't change while the process runs")
+            raise FixedSettingError("Layer")
         self.settings = settings
         self.classes = {c.name: c for c in settings.classes}
         if not self.started:
@@ -96,8 +99,8 @@
     # --- discovery ---
 
     def on_watch_event(self, now_us: int, kind: WatchEventKind, endpoints: Sequence[Endpoint]) -> None:
-        """Discovery, or a call to it, brought something."""
-        if kind in FAILED_CALLS:
+        """Discovery brought an endpoint list or changes of it, or a poll failed."""
+        if kind in FAILED_POLLS:
             self.discovery.on_failure(now_us, kind)
             return
         if kind is not WatchEventKind.CACHED:
@@ -161,18 +164,16 @@
     ) -> None:
         """Reject an arriving request, send it, or queue it."""
         if not self.started:
-            raise RuntimeError("request before start")
+            raise NotStartedError
         if request_id in self.requests:
-            raise RuntimeError(f"request {request_id} is here already")
+            raise DuplicateRequestError(request_id)
         request = self._create_request(now_us, request_id, class_name, tenant, timeout_us)
         stressed_cost_ru = self.rules.admission.assess(request, cost_hint_us)
         reason = self.rules.admission.reject_on_arrival(now_us, request, timeout_us)
         if reason is not None:
             self._reject(request, reason)
             return
-        if not request.over_quota:
-            request.bucket.tokens_ru -= stressed_cost_ru
-            request.charged_ru = stressed_cost_ru
+        self.rules.admission.charge(request, stressed_cost_ru)
         self._send_or_queue(now_us, request)
 
     def _create_request(
@@ -189,8 +190,7 @@
         return request
 
     def _send_or_queue(self, now_us: int, request: Request) -> None:
-        goes_first = not self.queue.count or self.rules.priorities.is_low(request.priority)
-        sent = goes_first and self._try_send(now_us, request)
+        sent = self.rules.admission.may_skip_queue(request) and self._try_send(now_us, request)
         if not request.over_quota:
             self.rules.shortage.record(sent)
         if sent:
@@ -209,7 +209,6 @@
         request = self.requests.get(request_id)
         if request is not None:
             self._finish(request)
-            self._cancel_attempts(request)
 
     def _reject(self, request: Request, reason: RejectionReason) -> None:
         """Answer without a result: as rejected where that is legal, otherwise as failed."""
@@ -221,16 +220,14 @@
         self._finish(request)
 
     def _finish(self, request: Request) -> None:
-        """No answer is owed any more; the request is forgotten once no attempt of it is in flight."""
+        """No answer is owed any more: cancel attempts, and forget the request once none is in flight."""
         if request.state is RequestState.QUEUED:
             self.queue.remove()
-        if request.outstanding:
-            request.enter(RequestState.ANSWERED)
-        else:
+        if not request.outstanding:
             request.enter(RequestState.CLOSED)
             del self.requests[request.id]
-
-    def _cancel_attempts(self, request: Request) -> None:
+            return
+        request.enter(RequestState.ANSWERED)
         if self.settings.limits.cancellation_allowed:
             for number in sorted(request.outstanding):
                 self._actions.cancel_attempt(request.id, number)
@@ -247,23 +244,30 @@
     def _send(self, now_us: int, request: Request, route: Route) -> None:
         pool, endpoint = route
         if not request.attempts:
-            self.rules.retry_budget.refill()
-            request.placement.recent_work_ru += request.cost_ru
-            if self.rules.hedging.schedule(now_us, request, pool.limit.median * request.objective_us):
-                self._start_sweep_timer(now_us)
-        idle_step = None  # unknown where others are in flight: which connection comes next is not told
+            self._count_first_attempt(now_us, request, pool)
+        idle_step = None  # unknown with others in flight: any idle connection may come next
         if not endpoint.in_flight:
             endpoint.waiting_since_us = now_us
             idle_step = self.rules.idle_connections.prepare(now_us, endpoint)
         request.add_attempt(Attempt(endpoint, now_us, pool, idle_step))
-        endpoint.last_used_us = now_us
         self.rules.slow_start.take_token(endpoint)
-        pool.sent_in_window += 1
+        self._acquire(now_us, pool, endpoint)
+        self._actions.send_attempt(request.id, endpoint.id)
+
+    def _count_first_attempt(self, now_us: int, request: Request, pool: EndpointPool) -> None:
+        self.rules.retry_budget.refill()
+        request.placement.recent_work_ru += request.cost_ru
+        if self.rules.hedging.schedule(now_us, request, pool.limit.median * request.objective_us):
+            self._start_sweep_timer(now_us)
+
+    def _acquire(self, now_us: int, pool: EndpointPool, endpoint: EndpointState) -> None:
+        """Count an attempt in flight."""
+        endpoint.last_used_us = now_us
         endpoint.in_flight += 1
-        if endpoint.in_flight >= MIN_IN_FLIGHT:
+        if endpoint.in_flight >= MIN_IN_FLIGHT:  # it may turn out to be unresponsive
             self.rules.impaired[endpoint] = None
+        pool.sent_in_window += 1
         pool.limit.in_flight += 1
-        self._actions.send_attempt(request.id, endpoint.id)
 
     def on_response_start(self, now_us: int, request_id: str, attempt: int) -> None:
         """The answer of a streaming class has begun: no other answer is owed."""
@@ -293,13 +297,13 @@
         self.rules.feedback.record(now_us, request, ended, elapsed_us, outcome, load)
         if request.answered or request_closed:
             self._finish(request)
-            self._cancel_attempts(request)
         elif not request.outstanding:
             self._retry_or_reject(now_us, request, outcome)
         if self.queue.count:
             self._dispatch(now_us)
 
     def _release(self, now_us: int, attempt: Attempt) -> None:
+        """Count an attempt out that was in flight."""
         endpoint = attempt.endpoint
         endpoint.in_flight -= 1
         self.rules.endpoint_table.forget_unused(endpoint)
@@ -308,7 +312,7 @@
 
     def _retry_or_reject(self, now_us: int, request: Request, outcome: Outcome) -> None:
         request.enter(RequestState.BETWEEN_ATTEMPTS)
-        if self.rules.retries.allows(now_us, request, outcome):
+        if self.rules.retries.take_retry(now_us, request, outcome):
             route = self.rules.router.find_retry_route(now_us, request)
             if route is not None:
                 self._send(now_us, request, route)
--- a/corkdoor/log_events.py
+++ b/corkdoor/log_events.py
@@ -26,11 +26,12 @@
 
     def __str__(self) -> str:
         """The line."""
-        pairs = [f"{key}={_format_value(value)}" for key, value in self.fields.items()]
+        pairs = [f"{key}={format_value(value)}" for key, value in self.fields.items()]
         return " ".join([f"event={self.name}", *pairs])
 
 
-def _format_value(value: object) -> str:
+def format_value(value: object) -> str:
+    """Return a field's value as it is written."""
     if isinstance(value, float):
         return f"{value:.3f}"
     text = str(value)
--- a/corkdoor/sidecar/upstream/connection.py
+++ b/corkdoor/sidecar/upstream/connection.py
@@ -10,8 +10,12 @@
 from corkdoor.sidecar.resource_limits import ByteBudget
 from corkdoor.sidecar.transport.stream import StreamTransport
 from corkdoor.sidecar.upstream.connection_state import (
+    AWAITING_RESPONSE,
+    CLOSED,
     CONNECTION_STATES,
+    IDLE,
     REQUEST_SENT,
+    SENDING,
     WHEN_ALL_IS_SENT,
     WHEN_DATA_COMES,
     ConnectionState,
@@ -56,25 +60,22 @@
         self, owner: ConnectionOwner, budget: ByteBudget, max_body_bytes: int = MAX_BODY_BYTES
     ) -> None:
         self.owner = owner
-        self.state = ConnectionState.IDLE
+        self.state: ConnectionState = IDLE
         self.idle_since_us = now_us()
         self.last_data_us: int | None = None
         self._reader = ResponseReader(budget, max_body_bytes)
 
-    def _enter(self, state: ConnectionState) -> None:
-        self.state = CONNECTION_STATES.check(self.state, state)
-
     @property
     def closed(self) -> bool:
         """Whether it has ended."""
-        return self.state is ConnectionState.CLOSED
+        return self.state is CLOSED
 
     def is_stale(self) -> bool:
         """Whether an idle connection has anything to read: its end, or what nobody asked for.
 
         Guards against writing an unsafe request to a connection whose end the loop has not come to yet.
         """
-        return self.closed or self.transport.has_input()
+        return self.state is CLOSED or self.transport.has_input()
 
     def stalled_since(self, time_us: int) -> bool:
         """Whether a response has begun and nothing more of it came since before `time_us`."""
@@ -82,14 +83,14 @@
 
     def send(self, data: bytes) -> None:
         """Begin an exchange with a whole request."""
-        self._enter(ConnectionState.AWAITING_RESPONSE)
+        self.state = CONNECTION_STATES.check(self.state, AWAITING_RESPONSE)
         self.transport.write(data)
 
     def close(self) -> None:
         """Give up the exchange: whatever still comes on this connection reaches nobody."""
-        if self.closed:
+        if self.state is CLOSED:
             return
-        self._enter(ConnectionState.CLOSED)
+        self.state = CONNECTION_STATES.check(self.state, CLOSED)
         self.transport.abort()
 
     def abandon(self, reason: str) -> None:
@@ -104,7 +105,7 @@
         self._reader.reset()
         self.last_data_us = None
         if reusable:
-            self._enter(ConnectionState.IDLE)
+            self.state = CONNECTION_STATES.check(self.state, IDLE)
         else:
             self.close()
         self.owner.on_response(self, response, reusable)
@@ -119,23 +120,23 @@
 
     def pause_writing(self) -> None:
         """The kernel has not taken all of the request."""
-        self._enter(ConnectionState.SENDING)
+        self.state = CONNECTION_STATES.check(self.state, SENDING)
 
     def resume_writing(self) -> None:
         """The kernel has the rest of the request."""
-        self._enter(WHEN_ALL_IS_SENT.get(self.state, ConnectionState.AWAITING_RESPONSE))
+        self.state = CONNECTION_STATES.check(self.state, WHEN_ALL_IS_SENT.get(self.state, AWAITING_RESPONSE))
 
     def data_received(self, data: bytes) -> None:
         """Read a part of the response."""
-        if self.closed:
+        state = self.state
+        if state is CLOSED:
             return
-        if self.state is ConnectionState.IDLE:
+        if state is IDLE:
             self.abandon("bytes outside of an exchange")
             return
         self.last_data_us = now_us()
-        following = WHEN_DATA_COMES.get(self.state)
-        if following is not None:
-            self._enter(following)
+        if state in WHEN_DATA_COMES:
+            self.state = CONNECTION_STATES.check(state, WHEN_DATA_COMES[state])
         try:
             response = self._reader.feed(data)
         except ResponseError as error:
@@ -146,7 +147,7 @@
 
     def eof_received(self) -> bool:
         """The orderly end, which a reset is not: it completes a response that states no length."""
-        if not self.closed:
+        if self.state is not CLOSED:
             response = self._reader.feed_eof()
             if response is not None:
                 self._complete(response)
@@ -157,6 +158,6 @@
         last_state = self.state
         self._reader.close()
         self.last_data_us = None
-        if last_state is not ConnectionState.CLOSED:
-            self._enter(ConnectionState.CLOSED)
+        if last_state is not CLOSED:
+            self.state = CONNECTION_STATES.check(self.state, CLOSED)
             self.owner.on_lost(self, last_state)
--- a/tests/test_discovery_polling.py
+++ b/tests/test_discovery_polling.py
@@ -32,36 +32,36 @@
 )
 from corkdoor.policy.discovery.poll_state import POLL_TRANSITIONS
 from corkdoor.settings import LifecycleRules
-from tests.support import Host, S, endpoints, settings
+from tests.support import MS, RecordingHost, S, endpoints, settings
 
 
 def test_push_deployment_polls_soon_after_an_outage() -> None:
     """Guards against waits past the drain grace: what discovery has at its return counts at once."""
     grace_us = 800_000
-    host = Host(
+    host = RecordingHost(
         settings(discovery_mode=DiscoveryMode.PUSH, lifecycle=LifecycleRules(drain_grace_us=grace_us))
     )
     for _ in range(20):
         host.timers.clear()
-        host.balancer.on_watch_event(host.now, WatchEventKind.FAILED, [])
+        host.balancer.on_watch_event(host.now_us, WatchEventKind.FAILED, [])
         ((due, _),) = host.timers
-        assert due - host.now <= grace_us / 2
-        host.advance(due - host.now)
+        assert due - host.now_us <= grace_us / 2
+        host.advance(due - host.now_us)
     for _ in range(5):  # a rejection after a wait tells of too many callers: that is no reason to hurry
-        host.now += 2 * S
-        call_began = host.now - 2 * S
-        host.balancer.on_watch_event(host.now, WatchEventKind.REJECTED, [])
+        host.now_us += 2 * S
+        call_began = host.now_us - 2 * S
+        host.balancer.on_watch_event(host.now_us, WatchEventKind.REJECTED, [])
         ((due, _),) = host.timers
-        host.advance(due - host.now)
+        host.advance(due - host.now_us)
     assert MAX_INTERVAL_REJECTED_US * 0.75 <= due - call_began <= MAX_INTERVAL_REJECTED_US
-    host.balancer.on_watch_event(host.now, WatchEventKind.DELTA, [])
-    answered = host.now
+    host.balancer.on_watch_event(host.now_us, WatchEventKind.DELTA, [])
+    answered = host.now_us
     waits = []
-    while host.now < answered + 7 * S:  # one that comes at once tells of a short queue
-        host.balancer.on_watch_event(host.now, WatchEventKind.REJECTED, [])
+    while host.now_us < answered + 7 * S:  # one that comes at once tells of a short queue
+        host.balancer.on_watch_event(host.now_us, WatchEventKind.REJECTED, [])
         ((due, _),) = host.timers
-        waits.append(due - host.now)
-        host.advance(due - host.now)
+        waits.append(due - host.now_us)
+        host.advance(due - host.now_us)
     assert min(waits) >= FIRST_TURN_US * 0.5
     assert max(waits) <= MAX_MEAN_WAIT_US * 1.5
     assert max(waits[:3]) <= FIRST_TURN_US * 1.8
@@ -90,23 +90,23 @@
 ) -> None:
     """However calls fail and however long that takes them."""
     rules = LifecycleRules(poll_interval_us=poll_interval_us)
-    host = Host(settings(discovery_mode=mode, lifecycle=rules), seed=seed)
+    host = RecordingHost(settings(discovery_mode=mode, lifecycle=rules), seed=seed)
     if address_changed:
-        host.balancer.on_discovery_address_changed(host.now)
+        host.balancer.on_discovery_address_changed(host.now_us)
     bound = (
         max(FIRST_INTERVAL_US, 3 * poll_interval_us)
         if mode is DiscoveryMode.POLL
         else MAX_INTERVAL_REJECTED_US
     )
-    host.did.clear()
+    host.actions.clear()
     immediate = 0
     for number, (failure, spent) in enumerate(calls):
-        began = host.now
-        host.now += spent
-        host.balancer.on_watch_event(host.now, failure, [])
-        host.balancer.on_watch_event(host.now, failure, [])  # reported twice
+        began = host.now_us
+        host.now_us += spent
+        host.balancer.on_watch_event(host.now_us, failure, [])
+        host.balancer.on_watch_event(host.now_us, failure, [])  # reported twice
         ((due, _),) = host.timers
-        wait = due - host.now
+        wait = due - host.now_us
         longest = MAX_INTERVAL_NEW_ADDRESS_US if address_changed else MAX_INTERVAL_US
         if failure is WatchEventKind.REJECTED:
             longest = MAX_INTERVAL_REJECTED_US // 2 if address_changed else MAX_INTERVAL_REJECTED_US
@@ -117,39 +117,39 @@
         immediate = immediate + 1 if wait < MIN_WAIT_US / 2 else 0
         assert immediate <= MAX_IMMEDIATE_RETRIES  # never a loop without a pause
         host.advance(wait)
-        assert host.did.pop() == ("watch_discovery", True)
-        assert not host.did
+        assert host.actions.pop() == ("watch_discovery", True)
+        assert not host.actions
         assert not host.timers
 
 
 def test_next_poll_comes_before_changes_count_as_notified() -> None:
-    host = Host(
+    host = RecordingHost(
         settings(discovery_mode=DiscoveryMode.POLL, lifecycle=LifecycleRules(poll_interval_us=500_000))
     )
     for _ in range(8):
         host.timers.clear()
-        host.balancer.on_watch_event(host.now, WatchEventKind.FAILED, [])
+        host.balancer.on_watch_event(host.now_us, WatchEventKind.FAILED, [])
         ((due, _),) = host.timers
-        assert due - host.now < 4 * 500_000
-        host.advance(due - host.now)
+        assert due - host.now_us < 4 * 500_000
+        host.advance(due - host.now_us)
 
 
 def test_polling_follows_its_table_of_states() -> None:
     before = POLL_TRANSITIONS.violations.total() + BACKOFF_TRANSITIONS.violations.total()
-    host = Host(settings(discovery_mode=DiscoveryMode.POLL))
+    host = RecordingHost(settings(discovery_mode=DiscoveryMode.POLL))
     polling = host.balancer.discovery
     states = [polling.state]
-    host.balancer.on_watch_event(host.now, WatchEventKind.REJECTED, [])
+    host.balancer.on_watch_event(host.now_us, WatchEventKind.REJECTED, [])
     states.append(polling.state)
     assert polling.backoff.phase.name == "RETRYING"
     assert polling.next_poll_us is not None
-    host.advance(polling.next_poll_us - host.now)
+    host.advance(polling.next_poll_us - host.now_us)
     states.append(polling.state)
-    host.balancer.on_watch_event(host.now, WatchEventKind.FULL, endpoints(2))  # it is overloaded
+    host.balancer.on_watch_event(host.now_us, WatchEventKind.FULL, endpoints(2))  # it is overloaded
     states.append(polling.state)
     assert polling.backoff.phase.name == "NONE_FAILED"
     for _ in range(2):
-        host.balancer.on_discovery_address_changed(host.now)
+        host.balancer.on_discovery_address_changed(host.now_us)
         states.append(polling.state)
         assert polling.backoff.phase.name == "NEW_ADDRESS"
     host.advance(SETTLE_US)
@@ -167,12 +167,12 @@
 
 
 def test_timer_that_was_overtaken_starts_no_call() -> None:
-    host = Host(settings(discovery_mode=DiscoveryMode.POLL))
-    host.balancer.on_watch_event(host.now, WatchEventKind.FAILED, [])
-    host.balancer.discovery.poll(host.now)
-    host.did.clear()
+    host = RecordingHost(settings(discovery_mode=DiscoveryMode.POLL))
+    host.balancer.on_watch_event(host.now_us, WatchEventKind.FAILED, [])
+    host.balancer.discovery.poll(host.now_us)
+    host.actions.clear()
     host.advance(10 * S)
-    assert host.did == []
+    assert host.actions == []
 
 
 def test_third_lost_answer_in_a_row_backs_off() -> None:
@@ -202,3 +202,22 @@
         rules = LifecycleRules(drain_grace_us=grace_us)
         assert connect_timeout_s(settings(discovery_mode=DiscoveryMode.PUSH, lifecycle=rules)) == timeout_s
     assert reconnect_timeout_s(MAX_TIMEOUT_S) == MIN_TIMEOUT_S
+
+
+def test_failed_poll_is_repeated_with_growing_jittered_delays() -> None:
+    first_delays_us = set()
+    for seed in range(5):
+        host = RecordingHost(settings(discovery_mode=DiscoveryMode.POLL), endpoints(2), seed=seed)
+        assert host.actions == [("watch_discovery", True)]
+        host.balancer.on_watch_event(host.now_us, WatchEventKind.FAILED, [])
+        host.balancer.on_watch_event(host.now_us, WatchEventKind.FAILED, [])
+        first_delay_us = host.timers[0][0] - host.now_us
+        assert len(host.timers) == 1
+        host.advance(first_delay_us)
+        assert host.actions.count(("watch_discovery", True)) == 2
+        host.advance(200 * MS)  # until the next poll fails: delays count from the beginning of a poll
+        host.balancer.on_watch_event(host.now_us, WatchEventKind.FAILED, [])
+        first_delays_us.add(first_delay_us)
+        assert 375 * MS <= first_delay_us <= 750 * MS
+        assert 750 * MS <= host.timers[0][0] - host.now_us + 200 * MS <= 1500 * MS
+    assert len(first_delays_us) == 5
--- a/tests/test_overloaded_discovery.py
+++ b/tests/test_overloaded_discovery.py
@@ -32,7 +32,7 @@
 from corkdoor.settings import LifecycleRules
 from emulator.crowded_discovery import Fleet, Scenario
 from tests.sidecar_support import Sidecar, listing, row, run
-from tests.support import MS, Host, S, endpoints, settings
+from tests.support import MS, RecordingHost, S, endpoints, settings
 
 WATCH_US = 3_500 * MS  # a watch is answered after so long
 NOTIFIED_AFTER_S = 6.0  # a change counts as notified so long after discovery had it and could be reached
@@ -190,16 +190,16 @@
     assert timeout.draw_ms(0.0) == MIN_SHARE * FIRST_MS
 
 
-def reject_at_once(host: Host) -> int:
+def reject_at_once(host: RecordingHost) -> int:
     """Return the wait after a call that is rejected at once, in microseconds."""
     host.timers.clear()
-    host.balancer.on_watch_event(host.now, WatchEventKind.REJECTED, [])
+    host.balancer.on_watch_event(host.now_us, WatchEventKind.REJECTED, [])
     ((due, _),) = host.timers
-    return due - host.now
+    return due - host.now_us
 
 
-def polling_host(entries: int = 2) -> Host:
-    return Host(
+def polling_host(entries: int = 2) -> RecordingHost:
+    return RecordingHost(
         settings(
             discovery_mode=DiscoveryMode.POLL,
             lifecycle=LifecycleRules(poll_interval_us=20 * S, drain_grace_us=1_500 * MS),
@@ -211,14 +211,14 @@
 def test_watch_rests_after_an_answer_of_an_overloaded_discovery() -> None:
     host = polling_host()
     host.advance(reject_at_once(host))
-    host.did.clear()
+    host.actions.clear()
     host.timers.clear()
-    host.balancer.on_watch_event(host.now, WatchEventKind.FULL, endpoints(2))
-    assert host.did == [("watch_discovery", False)]
+    host.balancer.on_watch_event(host.now_us, WatchEventKind.FULL, endpoints(2))
+    assert host.actions == [("watch_discovery", False)]
     ((due, _),) = host.timers
-    assert REST_US * 0.75 <= due - host.now <= REST_US * 1.25
-    host.advance(due - host.now)
-    assert host.did[-1] == ("watch_discovery", True)
+    assert REST_US * 0.75 <= due - host.now_us <= REST_US * 1.25
+    host.advance(due - host.now_us)
+    assert host.actions[-1] == ("watch_discovery", True)
     yield_us = NOTIFIED_AFTER_S * S - YIELD_SLACK_US - REST_US * 1.25
     assert reject_at_once(host) >= yield_us
 
@@ -227,9 +227,9 @@
     """Guards against a watch that ends in place of a drain, which counts as notified at once."""
     host = polling_host()
     host.advance(reject_at_once(host))
-    host.did.clear()
-    host.balancer.on_watch_event(host.now, WatchEventKind.DELTA, [])
-    assert host.did == []  # the watch goes on
+    host.actions.clear()
+    host.balancer.on_watch_event(host.now_us, WatchEventKind.DELTA, [])
+    assert host.actions == []  # the watch goes on
     assert reject_at_once(host) <= 1.5 * MAX_TURN_US
 
 
@@ -239,34 +239,34 @@
         host = polling_host()
         turn_us = max(MIN_TURN_US, min(answer_us, MAX_TURN_US))
         host.advance(reject_at_once(host))
-        host.now += answer_us
-        host.balancer.on_watch_event(host.now, WatchEventKind.FULL, endpoints(2))
-        host.now += int(NOTIFIED_AFTER_S * S)
+        host.now_us += answer_us
+        host.balancer.on_watch_event(host.now_us, WatchEventKind.FULL, endpoints(2))
+        host.now_us += int(NOTIFIED_AFTER_S * S)
         waits = []
         for _ in range(30):
-            host.balancer.discovery.poll(host.now)
+            host.balancer.discovery.poll(host.now_us)
             host.balancer.discovery.turns.rejections = 0
             waits.append(reject_at_once(host))
         assert 0.5 * turn_us <= min(waits)
         assert max(waits) <= 1.7 * turn_us
         assert max(waits) - min(waits) > 0.5 * turn_us  # drawn, or instances would poll in step
-        host.balancer.discovery.poll(host.now)
+        host.balancer.discovery.poll(host.now_us)
         host.balancer.discovery.turns.rejections = 1000  # more is polled for than can be answered
         assert 0.5 * MAX_MEAN_WAIT_US <= reject_at_once(host) <= 1.5 * MAX_MEAN_WAIT_US
 
 
 def test_of_address_changes_in_a_row_only_the_last_is_polled() -> None:
     host = polling_host()
-    host.did.clear()
+    host.actions.clear()
     host.timers.clear()
-    host.balancer.on_discovery_address_changed(host.now)
-    assert host.did == [("watch_discovery", True)]
+    host.balancer.on_discovery_address_changed(host.now_us)
+    assert host.actions == [("watch_discovery", True)]
     for _ in range(3):
-        host.now += SETTLE_US - 1
-        host.balancer.on_discovery_address_changed(host.now)
-    assert host.did == [("watch_discovery", True)]
+        host.now_us += SETTLE_US - 1
+        host.balancer.on_discovery_address_changed(host.now_us)
+    assert host.actions == [("watch_discovery", True)]
     host.advance(SETTLE_US)
-    assert host.did == [("watch_discovery", True)] * 2
-    host.now += SETTLE_US
-    host.balancer.on_discovery_address_changed(host.now)
-    assert host.did == [("watch_discovery", True)] * 3
+    assert host.actions == [("watch_discovery", True)] * 2
+    host.now_us += SETTLE_US
+    host.balancer.on_discovery_address_changed(host.now_us)
+    assert host.actions == [("watch_discovery", True)] * 3
--- a/tests/test_short_deadlines.py
+++ b/tests/test_short_deadlines.py
@@ -8,7 +8,7 @@
 from corkdoor.settings import Limits, RequestClass
 from corkdoor.sidecar.clock import now_us
 from corkdoor.sidecar.proxied_request import ProxiedRequest
-from tests.support import MS, SAFE, Host, endpoints, settings
+from tests.support import MS, SAFE, RecordingHost, endpoints, settings
 
 
 class SilentClient:
@@ -33,11 +33,11 @@
 @pytest.mark.parametrize("outcome", [Outcome.REJECTED, Outcome.CONNECT_FAILED])
 def test_short_attempt_that_never_ran_is_retried(outcome: Outcome) -> None:
     short = RequestClass("look", 60 * MS, 60 * MS, Idempotency.NOT_IDEMPOTENT)
-    host = Host(settings(classes=(short,)), endpoints(4))
-    request_id = host.submit(left=60 * MS)
+    host = RecordingHost(settings(classes=(short,)), endpoints(4))
+    request_id = host.submit(timeout_us=60 * MS)
     host.advance(5 * MS)
-    host.end_attempt(request_id, outcome, spent=5 * MS)
-    assert len(host.sends(request_id)) == 2
+    host.end_attempt(request_id, outcome, elapsed_us=5 * MS)
+    assert len(host.sent_to(request_id)) == 2
 
 
 @pytest.mark.parametrize("after_ms", [700, 800])
@@ -46,8 +46,8 @@
     keyed = RequestClass(
         "hold", 5000 * MS, 5000 * MS, Idempotency.WITH_KEY, DeduplicationScope.ALL, 1000 * MS
     )
-    host = Host(settings(classes=(keyed,), limits=Limits(connect_timeout_us=250 * MS)), endpoints(4))
-    request_id = host.submit("hold", left=5000 * MS)
+    host = RecordingHost(settings(classes=(keyed,), limits=Limits(connect_timeout_us=250 * MS)), endpoints(4))
+    request_id = host.submit("hold", timeout_us=5000 * MS)
     host.advance(after_ms * MS)
-    host.end_attempt(request_id, Outcome.ERROR, spent=after_ms * MS)
-    assert len(host.sends(request_id)) == (2 if after_ms + 250 <= 1000 else 1)
+    host.end_attempt(request_id, Outcome.ERROR, elapsed_us=after_ms * MS)
+    assert len(host.sent_to(request_id)) == (2 if after_ms + 250 <= 1000 else 1)
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -97,7 +97,8 @@
 def test_exception_in_the_balancer_is_reported() -> None:
     twice = ["order sidecar_0 00000000000000aa look - - 500000 - 0"] * 2
     replies = play([*START, "sync 2000", *twice, "over_to_you"])
-    assert any(line.startswith("broken sidecar_0 RuntimeError: request 00000000000000aa") for line in replies)
+    fault = "broken sidecar_0 DuplicateRequestError: request 00000000000000aa"
+    assert any(line.startswith(fault) for line in replies)
 
 
 @pytest.mark.parametrize(
