--- a/corkdoor/settings_reader.py
+++ b/corkdoor/settings_reader.py
@@ -76,21 +76,25 @@
     return values
 
 
-def _make(make: Callable[..., Made], keys: Sequence[SettingKey], values: dict[str, Any], prefix: str) -> Made:
+def _make_settings(
+    settings_type: Callable[..., Made], keys: Sequence[SettingKey], values: dict[str, Any], prefix: str
+) -> Made:
     """Make a settings object; its complaint about a field is worded with the field's key."""
     try:
-        return make(**values)
+        return settings_type(**values)
     except SettingsError as error:
         names = {setting.field: setting.key for setting in keys}
         raise SettingsError(f"{prefix}{names[error.key]}", error.reason) from None
 
 
-def _section_parser(make: Callable[..., Any], keys: Sequence[SettingKey]) -> Parser:
+def _section_parser(settings_type: Callable[..., Any], keys: Sequence[SettingKey]) -> Parser:
     """Return the parser of an object that fills a settings type of its own."""
 
     def parse(value: object, key: str) -> Any:
         prefix = f"{key}."
-        return _make(make, keys, _read_values(keys, parse_object(value, key), prefix), prefix)
+        return _make_settings(
+            settings_type, keys, _read_values(keys, parse_object(value, key), prefix), prefix
+        )
 
     return parse
 
@@ -105,7 +109,7 @@
     deduplicated = table.get("Effect") == Idempotency.WITH_KEY.value
     also_required = DEDUPLICATION_KEYS if deduplicated else ()
     values = _read_values(REQUEST_CLASS, table, prefix, also_required)
-    return _make(RequestClass, REQUEST_CLASS, values, prefix)
+    return _make_settings(RequestClass, REQUEST_CLASS, values, prefix)
 
 
 def _parse_tenants(value: object, key: str) -> tuple[Tenant, ...]:
@@ -115,7 +119,7 @@
 
 def _read_tenant(row: object, key: str) -> Tenant:
     table, prefix = _require_object(row, key), f"{key}."
-    return _make(Tenant, TENANT, _read_values(TENANT, table, prefix), prefix)
+    return _make_settings(Tenant, TENANT, _read_values(TENANT, table, prefix), prefix)
 
 
 def _parse_objective(value: object, key: str) -> Objective:
@@ -204,4 +208,4 @@
     values = _read_values(SETTINGS, _require_object(document, "Setup"), "")
     if "layer" in values:
         values.setdefault("layer_count", values["layer"] + 1)
-    return _make(Settings, SETTINGS, values, "")
+    return _make_settings(Settings, SETTINGS, values, "")
