--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -34,8 +34,8 @@
         async with Sidecar(endpoints=2) as sidecar:
             _, client = await one_attempt(sidecar, "pay")
             (request_id,) = sidecar.proxy.requests
-            sidecar.proxy.send_attempt(request_id, "s-1", 0)
-            sidecar.proxy.send_attempt(request_id, "s-0", 0)
+            sidecar.proxy.send_attempt(request_id, "s-1")
+            sidecar.proxy.send_attempt(request_id, "s-0")
             while sum(a.ended for a in sidecar.proxy.requests[request_id].attempts) < 2:
                 await asyncio.sleep(0.01)
             assert sidecar.proxy.invariants.prevented[Invariant.UNSAFE_RETRY] == 2
