--- a/corkdoor/balancer.py
+++ b/corkdoor/balancer.py
@@ -11,7 +11,7 @@
 import random
 from collections.abc import Sequence
 
-from corkdoor.interface import Actions
+from corkdoor.interface import Actions, Events
 from corkdoor.load_report import LoadReport
 from corkdoor.model import DiscoveryMode, Endpoint, Outcome, Timer, WatchEventKind
 from corkdoor.policy.discovery.polling import DiscoveryPolling
@@ -31,7 +31,7 @@
 FAILED_POLLS = frozenset((WatchEventKind.FAILED, WatchEventKind.REJECTED, WatchEventKind.LOST))
 
 
-class Balancer:
+class Balancer(Events):
     """The decisions of one instance.
 
     Args:
@@ -109,7 +109,7 @@
         if self.queue.count:
             self._dispatch(now_us)
 
-    def on_discovery_moved(self, now_us: int) -> None:
+    def on_discovery_address_changed(self, now_us: int) -> None:
         """Discovery has another address and has not been called there."""
         self.discovery.on_address_changed(now_us)
 
@@ -149,7 +149,7 @@
             while (request := queue.head(priority)) is not None:
                 if not self._try_send(now_us, request):
                     break
-                queue.remove()
+                queue.note_dequeued()
 
     # --- requests ---
 
@@ -222,7 +222,7 @@
     def _finish(self, request: Request) -> None:
         """No answer is owed any more: cancel attempts, and forget the request once none is in flight."""
         if request.state is RequestState.QUEUED:
-            self.queue.remove()
+            self.queue.note_dequeued()
         if not request.outstanding:
             request.enter(RequestState.CLOSED)
             del self.requests[request.id]
@@ -252,7 +252,7 @@
         request.add_attempt(Attempt(endpoint, now_us, pool, idle_step))
         self.rules.slow_start.take_token(endpoint)
         self._acquire(now_us, pool, endpoint)
-        self._actions.send_attempt(request.id, endpoint.id, 0)
+        self._actions.send_attempt(request.id, endpoint.id)
 
     def _count_first_attempt(self, now_us: int, request: Request, pool: EndpointPool) -> None:
         self.rules.retry_budget.refill()
--- a/tests/test_overload_in_service.py
+++ b/tests/test_overload_in_service.py
@@ -17,7 +17,7 @@
 from corkdoor.sidecar.clients import read_flow, registry, server
 from corkdoor.sidecar.clients.timeouts import ClientTimeouts
 from corkdoor.sidecar.clock import now_us
-from corkdoor.sidecar.upstream import attempt, connection, manager, pool
+from corkdoor.sidecar.upstream import attempt, connection, connection_pool, pool_manager
 from tests.fake_server import ReceivedRequest
 from tests.sidecar_client import Client
 from tests.sidecar_support import Sidecar
@@ -27,7 +27,7 @@
 
 CLOCK_USERS = (
     *(attempt_sender, balancer_events, endpoint_updates, proxy, request_registry),
-    *(client_connection, read_flow, registry, server, attempt, connection, manager, pool),
+    *(client_connection, read_flow, registry, server, attempt, connection, connection_pool, pool_manager),
 )
 
 
--- a/tests/test_slow_start_sum.py
+++ b/tests/test_slow_start_sum.py
@@ -54,8 +54,10 @@
 
     def capacity_share(self, now_us: int) -> float:
         """Return the share of its capacity that it has: it grows evenly."""
+        if self.entry.started_us is None:
+            return 1.0
         age_us = now_us - self.entry.started_us
-        if not self.entry.started_us or age_us >= RULES.slow_start_us:
+        if age_us >= RULES.slow_start_us:
             return 1.0
         initial_share = RULES.slow_start_initial_share
         return initial_share + (1 - initial_share) * max(0, age_us) / RULES.slow_start_us
@@ -98,7 +100,7 @@
             while self.received_us[first] <= at_us - WINDOW_US:
                 first += 1
             # The capacity that it had as the window began: the least in it.
-            began_us = max(self.received_us[first], self.entry.started_us)
+            began_us = max(self.received_us[first], self.entry.started_us or 0)
             if self.capacity_share(began_us) < 1.0:
                 capacity = CAPACITY_PER_S * self.capacity_share(began_us) * WINDOW_US / S
                 budget = self.world.overload_factor * capacity
@@ -114,7 +116,7 @@
         self.open: set[str] = set()
         super().__init__(chosen, entries, seed=seed, now_us=world.now_us)
 
-    def send_attempt(self, request_id: str, endpoint_id: str, max_wait_us: int) -> None:
+    def send_attempt(self, request_id: str, endpoint_id: str) -> None:
         endpoint_ids = self.attempts.setdefault(request_id, [])
         endpoint_ids.append(endpoint_id)
         end = partial(self.on_outcome, request_id, len(endpoint_ids) - 1, self.world.now_us)
@@ -135,7 +137,7 @@
         self.now_us = self.world.now_us
         self.balancer.on_timer(self.now_us, timer)
 
-    def reject_request(self, request_id: str, retry_after_us: int) -> None:
+    def reject_request(self, request_id: str, retry_after_us: int | None) -> None:
         self.open.discard(request_id)
 
     def fail_request(self, request_id: str) -> None:
