--- a/corkdoor/policy/capacity_shortage.py
+++ b/corkdoor/policy/capacity_shortage.py
@@ -7,7 +7,11 @@
 
 
 class CapacityShortage:
-    """Follows the shortage."""
+    """Follows the shortage.
+
+    Attributes:
+        rate: the share of recent requests that found no capacity, smoothed.
+    """
 
     def __init__(self) -> None:
         self.rate = 0.0
--- a/corkdoor/policy/concurrency_limit.py
+++ b/corkdoor/policy/concurrency_limit.py
@@ -48,7 +48,9 @@
         unloaded_median: the same while not overloaded; 0.0 before the first round.
         headroom: 1.0 while not overloaded, 0.0 with latencies at their target.
         endpoints_report_load: whether endpoints report their load.
-        peer: the limit of the same endpoints in the other zones, or here.
+        peer: the limit of the same placement in the other zones, or here.
+        round: the latencies of the round under way.
+        changed_us: when the limit was last reduced.
     """
 
     def __init__(self, layer: int) -> None:
--- a/corkdoor/policy/endpoint_pool.py
+++ b/corkdoor/policy/endpoint_pool.py
@@ -33,11 +33,15 @@
     """The subset of one pool: a block of the random order that all instances share.
 
     The blocks of the instances start at even distances, so that all endpoints are in use evenly.
+
+    Attributes:
+        members: the endpoints in use.
+        start: where the block begins in the shared order.
     """
 
     def __init__(self) -> None:
         self.members: list[EndpointState] = []
-        self.start = 0  # where the block begins in the shared order
+        self.start = 0
 
     def fill(
         self, endpoints: list[EndpointState], instance_index: int, instance_count: int, size: int
@@ -53,10 +57,18 @@
 
 
 class EndpointPool:
-    """The ready endpoints of this zone, or of all the others, that one placement allows."""
+    """The ready endpoints of this zone, or of all the others, that one placement allows.
+
+    Attributes:
+        endpoints: all of them, in the shared order.
+        subset: those in use.
+        limit: the limit on requests in flight to the subset.
+        sent_in_window: attempts sent in the present refill window.
+        sent_per_s: attempts sent a second, smoothed; it falls slowly.
+    """
 
     def __init__(self, layer: int) -> None:
-        self.endpoints: list[EndpointState] = []  # in the shared order
+        self.endpoints: list[EndpointState] = []
         self.subset = Subset()
         self.limit = ConcurrencyLimit(layer)
         self.sent_in_window = 0
--- a/corkdoor/policy/errors.py
+++ b/corkdoor/policy/errors.py
@@ -15,7 +15,11 @@
 
 
 class DuplicateRequestError(BalancerError, RuntimeError):
-    """A request came under an id that is in use."""
+    """A request came under an id that is in use.
+
+    Attributes:
+        request_id: that id.
+    """
 
     def __init__(self, request_id: str) -> None:
         super().__init__(f"request {request_id} is here already")
@@ -23,7 +27,11 @@
 
 
 class FixedSettingError(BalancerError, ValueError):
-    """A setting would change that can't change while the process runs."""
+    """A setting would change that can't change while the process runs.
+
+    Attributes:
+        setting: its key in the settings document.
+    """
 
     def __init__(self, setting: str) -> None:
         super().__init__(f"{setting}: it can't change while the process runs")
--- a/corkdoor/policy/latency_histogram.py
+++ b/corkdoor/policy/latency_histogram.py
@@ -17,7 +17,12 @@
 
 
 class LatencyHistogram:
-    """Counts latencies, given as shares of the latency objective of their request class."""
+    """Counts latencies, given as shares of the latency objective of their request class.
+
+    Attributes:
+        counts: the latencies in each bucket.
+        total: the latencies in all of them.
+    """
 
     __slots__ = ("counts", "total")
 
--- a/corkdoor/policy/latency_ratio.py
+++ b/corkdoor/policy/latency_ratio.py
@@ -18,7 +18,11 @@
 
 
 class LatencyRatio:
-    """Follows the latency ratio of all requests."""
+    """Follows the latency ratio of all requests.
+
+    Attributes:
+        value: the ratio; 1.0 while there are few samples.
+    """
 
     def __init__(self, now_us: int) -> None:
         self.reset(now_us)
--- a/corkdoor/policy/outlier_ejection.py
+++ b/corkdoor/policy/outlier_ejection.py
@@ -52,7 +52,11 @@
 
 
 class OutlierEjection:
-    """Follows failure rates, and ejects endpoints."""
+    """Follows failure rates, and ejects endpoints.
+
+    Attributes:
+        ejected: the endpoints that are ejected or on their recovery ramp.
+    """
 
     def __init__(
         self, endpoints: EndpointTable, impaired: OrderedEndpoints, actions: Actions, rng: random.Random
@@ -62,7 +66,7 @@
         self._actions = actions
         self._random = rng
         self._total_failure_rate = 0.0
-        self.ejected: list[EndpointState] = []  # and those on their recovery ramp
+        self.ejected: list[EndpointState] = []
 
     def record(self, now_us: int, endpoint: EndpointState, sent_us: int, outcome: Outcome) -> None:
         """Take the outcome of an attempt that was sent at `sent_us`."""
--- a/corkdoor/policy/placement_table.py
+++ b/corkdoor/policy/placement_table.py
@@ -17,7 +17,11 @@
 
 
 class PlacementTable:
-    """The placements of all classes, and of requests that arrived under earlier settings."""
+    """The placements of all classes, and of requests that arrived under earlier settings.
+
+    Attributes:
+        by_class: the placements of the classes of the settings, by the class's name.
+    """
 
     def __init__(self, settings: Settings, requests: Mapping[str, Request]) -> None:
         self._requests = requests
--- a/corkdoor/policy/retries.py
+++ b/corkdoor/policy/retries.py
@@ -14,7 +14,11 @@
 
 
 class RetryBudget:
-    """Limits retries and hedges to a share of the first attempts: faults must not multiply the load."""
+    """Limits retries and hedges to a share of the first attempts: faults must not multiply the load.
+
+    Attributes:
+        tokens: retries and hedges that are left.
+    """
 
     def __init__(self) -> None:
         self.tokens = MAX_BUDGET
--- a/corkdoor/policy/rules.py
+++ b/corkdoor/policy/rules.py
@@ -46,6 +46,8 @@
 
     Attributes:
         impaired: the endpoints whose available share may be below 1.
+
+    The other attributes are the rules themselves, each described in the module of its class.
     """
 
     def __init__(
--- a/corkdoor/policy/service_times.py
+++ b/corkdoor/policy/service_times.py
@@ -14,7 +14,12 @@
 
 
 class ServiceTimes:
-    """Follows the usual service time of all endpoints together."""
+    """Follows the usual service time of all endpoints together.
+
+    Attributes:
+        usual: the usual service time, as a share of the objective; 0.0 before there are enough reports.
+        newer: the reports of the present window.
+    """
 
     def __init__(self, layer: int, now_us: int) -> None:
         self._max_usual = MAX_USUAL_SHARE / (layer + 1)
@@ -25,7 +30,7 @@
         self.newer, self._older = LatencyHistogram(), LatencyHistogram()
         self._window_end_us = now_us + LONG_WINDOW_US
         self._next_read_us = now_us
-        self.usual = 0.0  # share of the objective; 0.0 before there are enough reports
+        self.usual = 0.0
 
     def record(self, now_us: int, service_time_share: float) -> None:
         """Count a reported service time, and compute the usual one when that is due."""
--- a/corkdoor/policy/token_buckets.py
+++ b/corkdoor/policy/token_buckets.py
@@ -51,10 +51,15 @@
 
 
 class TokenBuckets:
-    """The buckets of all tenants."""
+    """The buckets of all tenants.
+
+    Attributes:
+        by_tenant: the buckets, by the tenant's name; "" is for requests that name none.
+        next_refill_us: when the next refill is due.
+    """
 
     def __init__(self, settings: Settings, first_refill_delay_us: int, now_us: int) -> None:
-        self.by_tenant: dict[str, TenantBucket] = {}  # "": requests that name no tenant
+        self.by_tenant: dict[str, TenantBucket] = {}
         self.next_refill_us = now_us + first_refill_delay_us
         self._served_ru = 0.0  # in this window
         self._served_ru_per_s = 0.0
