--- a/corkdoor/balancer.py
+++ b/corkdoor/balancer.py
@@ -109,7 +109,7 @@
         if self.queue.count:
             self._dispatch(now_us)
 
-    def on_discovery_moved(self, now_us: int) -> None:
+    def on_discovery_address_changed(self, now_us: int) -> None:
         """Discovery has another address and has not been called there."""
         self.discovery.on_address_changed(now_us)
 
@@ -252,7 +252,7 @@
         request.add_attempt(Attempt(endpoint, now_us, pool, idle_step))
         self.rules.slow_start.take_token(endpoint)
         self._acquire(now_us, pool, endpoint)
-        self._actions.send_attempt(request.id, endpoint.id, 0)
+        self._actions.send_attempt(request.id, endpoint.id)
 
     def _count_first_attempt(self, now_us: int, request: Request, pool: EndpointPool) -> None:
         self.rules.retry_budget.refill()
--- a/corkdoor/sidecar/discovery/endpoint_list.py
+++ b/corkdoor/sidecar/discovery/endpoint_list.py
@@ -63,7 +63,7 @@
         id=str(row["instanceId"]),
         zone=str(row.get("zone") or ""),
         machine_type=str(row.get("machineType") or ""),
-        cell=int(row["cell"]) if row.get("cell") is not None else -1,
+        cell=int(row["cell"]) if row.get("cell") is not None else None,
         readiness=Readiness(row["lifecycle"]),
         weight=weight if weight > 0 else DEFAULT_WEIGHT,
         started_us=_read_start_us(row.get("startedAtMs")),
@@ -72,16 +72,15 @@
 
 
 def _read_address(text: Any) -> tuple[str, int]:
-    host, _, port = text.rpartition(":")
+    host, _, port_text = text.rpartition(":")
+    port = int(port_text) if host else 0
     # Guards against attempts that end in an error which is no socket's.
-    if not host or not 0 < int(port) <= MAX_PORT:
+    if not 0 < port <= MAX_PORT:
         raise ValueError("hostPort")
-    return host, int(port)
+    return host, port
 
 
-def _read_start_us(started_ms: Any) -> int:
-    """Convert a Unix time to the monotonic clock, on which a start may lie before 0; 0: long ago."""
+def _read_start_us(started_ms: Any) -> int | None:
+    """Convert a Unix time to the monotonic clock, on which a start may lie before 0; None: long ago."""
     milliseconds = int(started_ms or 0)
-    if not milliseconds:
-        return 0
-    return milliseconds * 1000 - UNIX_OFFSET_US or 1
+    return milliseconds * 1000 - UNIX_OFFSET_US if milliseconds else None
--- a/corkdoor/sidecar/proxy.py
+++ b/corkdoor/sidecar/proxy.py
@@ -1,4 +1,7 @@
-"""The host of the balancer: carries out its actions and notifies it of events. It decides nothing."""
+"""The host of the balancer: carries out its actions, and notifies it of events.
+
+It decides nothing; its parts stand in modules of their own.
+"""
 
 from __future__ import annotations
 
@@ -25,7 +28,7 @@
 from corkdoor.sidecar.proxied_request import ProxiedRequest
 from corkdoor.sidecar.request_registry import RequestRegistry
 from corkdoor.sidecar.resource_limits import ByteBudget
-from corkdoor.sidecar.upstream.manager import PoolLimits, PoolManager
+from corkdoor.sidecar.upstream.pool_manager import PoolLimits, PoolManager
 
 log = logging.getLogger(__name__)
 
@@ -65,7 +68,7 @@
         self.watcher = DiscoveryWatcher(
             config.discovery.host,
             config.discovery.port,
-            config.known.generation,
+            config.cached_list.generation,
             connect_timeout_s(config.settings),
             self.on_watch_event,
         )
@@ -90,7 +93,7 @@
     def start(self) -> None:
         """Start the balancer on the cached list, which is in use until discovery answers."""
         self.balancer.start(now_us())
-        self.on_watch_event(WatchEventKind.CACHED, self.config.known.entries)
+        self.on_watch_event(WatchEventKind.CACHED, self.config.cached_list.entries)
         if self.settings.discovery_mode is DiscoveryMode.PUSH:
             self.watcher.start()
         self.lifecycle.enter(ProcessState.SERVING)
@@ -127,7 +130,7 @@
         """Watch at another address; at the same one the watch stays open, since each new one costs a list."""
         if (address.host, address.port) != (self.watcher.host, self.watcher.port):
             self.watcher.change_address(address.host, address.port)
-            if not notify(self.balancer.on_discovery_moved):
+            if not notify(self.balancer.on_discovery_address_changed):
                 self.watcher.start()
 
     def version_fields(self) -> dict[str, object]:
@@ -154,19 +157,19 @@
 
     # --- the balancer's actions ---
 
-    def send_attempt(self, request_id: str, endpoint_id: str, max_wait_us: int) -> None:
+    def send_attempt(self, request_id: str, endpoint_id: str) -> None:
         """Send an attempt."""
-        self.attempts.send(request_id, endpoint_id, max_wait_us)
+        self.attempts.send(request_id, endpoint_id)
 
     def cancel_attempt(self, request_id: str, attempt: int) -> None:
         """Stop waiting for one attempt."""
         self.attempts.cancel(request_id, attempt)
 
-    def reject_request(self, request_id: str, retry_after_us: int) -> None:
+    def reject_request(self, request_id: str, retry_after_us: int | None) -> None:
         """Answer 503, with Retry-After where a time is given."""
         request = self.requests.find(request_id)
         if request is not None:
-            headers = [(b"Retry-After", b"%.3f" % (retry_after_us / 1e6))] if retry_after_us > 0 else []
+            headers = [(b"Retry-After", b"%.3f" % (retry_after_us / 1e6))] if retry_after_us else []
             self.requests.answer(request, HTTPStatus.SERVICE_UNAVAILABLE, headers)
 
     def fail_request(self, request_id: str) -> None:
--- a/corkdoor/sidecar/upstream/pool.py
+++ b/corkdoor/sidecar/upstream/connection_pool.py
@@ -11,10 +11,10 @@
 from corkdoor.sidecar.upstream.response import Response, classify
 
 if TYPE_CHECKING:
-    from corkdoor.sidecar.upstream.manager import PoolManager
+    from corkdoor.sidecar.upstream.pool_manager import PoolManager
 
 
-class EndpointPool:
+class ConnectionPool:
     """The keep-alive connections to one process of one endpoint.
 
     Attributes:
@@ -24,7 +24,7 @@
         last_sent: what the log calls that attempt.
     """
 
-    def __init__(self, manager: PoolManager, host: str, port: int, started_us: int) -> None:
+    def __init__(self, manager: PoolManager, host: str, port: int, started_us: int | None) -> None:
         self.manager = manager
         self.host = host
         self.port = port
--- a/tests/support.py
+++ b/tests/support.py
@@ -45,7 +45,9 @@
     return replace(base, **changes)
 
 
-def endpoints(count: int, zone: str = "east", first: int = 0, started_us: int = 0) -> list[Endpoint]:
+def endpoints(
+    count: int, zone: str = "east", first: int = 0, started_us: int | None = None
+) -> list[Endpoint]:
     """Return so many ready endpoints, numbered from `first`; four share a deduplication cell."""
     return [
         Endpoint(f"10.0.{i // 250}.{i % 250}:80", zone, "std", i // 4, Readiness.READY, 1.0, started_us)
@@ -93,14 +95,14 @@
 
     # --- the balancer's actions ---
 
-    def send_attempt(self, request_id: str, endpoint_id: str, max_wait_us: int) -> None:
-        self.actions.append(("send_attempt", request_id, endpoint_id, max_wait_us))
+    def send_attempt(self, request_id: str, endpoint_id: str) -> None:
+        self.actions.append(("send_attempt", request_id, endpoint_id))
         self.attempts.setdefault(request_id, []).append(endpoint_id)
 
     def cancel_attempt(self, request_id: str, attempt: int) -> None:
         self.actions.append(("cancel_attempt", request_id, attempt))
 
-    def reject_request(self, request_id: str, retry_after_us: int) -> None:
+    def reject_request(self, request_id: str, retry_after_us: int | None) -> None:
         self.actions.append(("reject_request", request_id, retry_after_us))
 
     def fail_request(self, request_id: str) -> None:
