--- a/corkdoor/balancer.py
+++ b/corkdoor/balancer.py
@@ -79,7 +79,7 @@
         """
         previous = self.settings
         if settings.layer != previous.layer:
-            raise FixedSettingError("Layer")
+            raise FixedSettingError("layer")
         self.settings = settings
         self.classes = {c.name: c for c in settings.classes}
         if not self.started:
--- a/corkdoor/policy/errors.py
+++ b/corkdoor/policy/errors.py
@@ -30,7 +30,7 @@
     """A setting would change that can't change while the process runs.
 
     Attributes:
-        setting: its key in the settings document.
+        setting: its name in `Settings`.
     """
 
     def __init__(self, setting: str) -> None:
--- a/tests/test_reconfigure.py
+++ b/tests/test_reconfigure.py
@@ -264,7 +264,7 @@
 def test_another_layer_is_an_error_and_changes_nothing() -> None:
     host = RecordingHost(entries=endpoints(2))
     before = host.balancer.settings
-    with pytest.raises(FixedSettingError, match="Layer"):
+    with pytest.raises(FixedSettingError, match="layer"):
         reconfigure(host, layer=1, layer_count=2, classes=(SAFE,))
     assert host.balancer.settings is before
     assert host.sent_to(host.submit("pay"))
