--- a/corkdoor/sidecar/clients/admission.py
+++ b/corkdoor/sidecar/clients/admission.py
@@ -1,4 +1,4 @@
-"""Reading a client's request: what it asks for, whether it may be served, and what is forwarded of it."""
+"""Admitting a request: its class, tenant and deadline, and what is forwarded of it."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class RequestingClient(Client, Protocol):
-    """Who asks, and is told under which id of its own its request is open."""
+    """The client of a request; `request_id` is set to the id that the client gave it."""
 
     request_id: bytes
 
@@ -131,7 +131,7 @@
 
 
 def _number(fields: dict[bytes, bytes], key: bytes, maximum: int) -> int | None:
-    """A header's value as a whole number up to `maximum`; None where the header is missing."""
+    """A header's value as an integer up to `maximum`; None where the header is missing."""
     text = fields.get(key)
     if text is None:
         return None
--- a/corkdoor/sidecar/clients/connection.py
+++ b/corkdoor/sidecar/clients/connection.py
@@ -24,7 +24,7 @@
 if TYPE_CHECKING:
     from corkdoor.sidecar.clients.server import Server
 
-RETRY_AFTER_S = b"1"  # told where no memory is left
+RETRY_AFTER_S = b"1"  # in a 503, where no memory is left
 NEW, ESTABLISHED = ClientState  # bound once: members are slow to look up
 FLOWING, BLOCKED = OutputState
 log = logging.getLogger(__name__)
@@ -203,7 +203,7 @@
             self._reject(error)
             return
         except Exception:
-            # It has not reached the balancer, but what was asked for is unclear: nothing is promised.
+            # It was not forwarded, but 503 would promise that it is safe to send again: it could not be read.
             log.exception(LogEvent("request_admission_failed"))
             self.answer(HTTPStatus.INTERNAL_SERVER_ERROR, [], b"")
             return
--- a/corkdoor/sidecar/clients/timeouts.py
+++ b/corkdoor/sidecar/clients/timeouts.py
@@ -44,7 +44,7 @@
             now: the time, in microseconds.
         """
         if connection.is_reading_paused and not connection.has_input_ended and connection.departed():
-            # While reading is paused the loop is told of no end, and the backlog would be served for nobody.
+            # While reading is paused the loop sees no end of input: the backlog would be served for nobody.
             connection.drop_requests()
             connection.close(CloseReason.CLIENT_LEFT)
         phase_s = (now - connection.phase_started_us) / 1e6
--- a/corkdoor/sidecar/transport/sender.py
+++ b/corkdoor/sidecar/transport/sender.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from corkdoor.sidecar.transport.stream import StreamTransport
 
-DEFAULT_HIGH_WATER_BYTES = 64 * 1024  # buffered bytes above which the protocol is told to pause writing
+DEFAULT_HIGH_WATER_BYTES = 64 * 1024  # buffered bytes above which the protocol has to pause writing
 LOW_WATER_DIVISOR = 4  # the protocol may resume once the buffer is down to this part of the high-water mark
 OPEN, ENDING, ENDED = SendState  # bound once: members are slow to look up
 WRITABLE, PAUSED = WriterState
@@ -26,8 +26,8 @@
     Args:
         loop: the event loop.
         sock: the connected socket, which does not block.
-        protocol: is told to pause and to resume writing.
-        transport: is told when the buffer has been sent, and broken by an error.
+        protocol: has to pause and may resume writing.
+        transport: is notified when the buffer has been sent, and of errors.
     """
 
     __slots__ = (
@@ -68,7 +68,7 @@
         return self._state is ENDING
 
     def set_high_water(self, size: int) -> None:
-        """Tell the protocol to pause above `size` buffered bytes, and to resume at a quarter of that."""
+        """Have the protocol pause above `size` buffered bytes, and to resume at a quarter of that."""
         self._high_water, self._low_water = size, size // LOW_WATER_DIVISOR
 
     def write(self, data: bytes) -> None:
--- a/corkdoor/sidecar/transport/states.py
+++ b/corkdoor/sidecar/transport/states.py
@@ -32,7 +32,7 @@
 
 
 class WriterState(IntEnum):
-    """Whether the protocol may write: it is told to stop while too much output is buffered."""
+    """Whether the protocol may write: not while too much output is buffered."""
 
     WRITABLE = auto()
     PAUSED = auto()
--- a/corkdoor/sidecar/transport/stream.py
+++ b/corkdoor/sidecar/transport/stream.py
@@ -72,7 +72,7 @@
         return len(self._sender.buffer)
 
     def set_write_buffer_limits(self, high: int) -> None:
-        """How many bytes the kernel may have not taken before the protocol is told to pause."""
+        """How many bytes the kernel may have not taken before the protocol has to pause."""
         self._sender.set_high_water(high)
 
     def write_eof(self) -> None:
@@ -109,7 +109,7 @@
             self._sender.shut_down()
 
     def _end(self, error: Exception | None) -> None:
-        """Give the descriptor back at once, and tell the protocol later: it may be in one of its calls."""
+        """Give the descriptor back at once, and notify the protocol later: it may be in one of its calls."""
         if self._state is CLOSED:
             return
         self._set_state(CLOSED)
@@ -119,7 +119,7 @@
         self._loop.call_soon(self._report_end, error)
 
     def _report_end(self, error: Exception | None) -> None:
-        """Tell the protocol, and undo the references in a circle: they would wait for the collector."""
+        """Notify the protocol, and undo the references in a circle: they would wait for the collector."""
         protocol, self._protocol = self._protocol, None
         self._receiver.detach()
         self._sender.detach()
--- a/tests/sidecar_process.py
+++ b/tests/sidecar_process.py
@@ -20,7 +20,7 @@
 
 
 def start_program(tmp_path: Path, changes: dict[str, Any], **variables: str) -> subprocess.Popen[str]:
-    """The program as a process of its own, told by a file in `tmp_path` and by these variables."""
+    """Start the program with a configuration file in `tmp_path` and these environment variables."""
     document = {"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "8c1f", **changes}
     path = tmp_path / "config.json"
     path.write_text(json.dumps(document), encoding="utf-8")
--- a/tests/test_client_departures.py
+++ b/tests/test_client_departures.py
@@ -93,7 +93,7 @@
 
 @pytest.mark.parametrize("waiting", [1, MAX_WAITING_REQUESTS])
 async def test_client_leaves_with_requests_waiting_behind_an_open_one(waiting: int) -> None:
-    """With so many waiting that reading is paused, the loop is told of no end."""
+    """With so many waiting that reading is paused, the loop sees no end of input."""
     async with Sidecar() as sidecar:
         client, other = await sidecar.client(), await sidecar.client()
         client.send(deadline_ms=NEVER_MS)
--- a/tests/test_client_requests.py
+++ b/tests/test_client_requests.py
@@ -20,7 +20,7 @@
     pytest.param(
         HEAD + "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n",
         400,
-        id="both lengths, turned round",
+        id="both lengths, chunked first",
     ),
     pytest.param(
         HEAD + "Transfer-Encoding: xchunked\r\nContent-Length: 1\r\n\r\nx",
@@ -44,7 +44,7 @@
     pytest.param(HEAD + "A: b\r\n" * 1000 + "\r\n", 431, id="many headers"),
     pytest.param(HEAD + "A: " + "x" * 1_000_000, 431, id="line without end"),
     pytest.param(HEAD + "A: b\r\n" * 100_000, 431, id="head without end"),
-    pytest.param(HEAD + "Content-Length: 60000000\r\n\r\n", 413, id="long body, told ahead"),
+    pytest.param(HEAD + "Content-Length: 60000000\r\n\r\n", 413, id="long body, by its length"),
     pytest.param(
         HEAD + CHUNKED + "10000\r\n" + "x" * 65536 + "\r\n1\r\nx\r\n", 413, id="long body in chunks"
     ),
--- a/tests/test_idle_client_flood.py
+++ b/tests/test_idle_client_flood.py
@@ -25,7 +25,7 @@
 
 
 class ClientFlood:
-    """Clients that connect and ask for nothing, or for no whole request."""
+    """Clients that connect and send nothing, or part of a request."""
 
     def __init__(self, address: tuple[str, int], begin: bytes) -> None:
         self.address = address
@@ -82,7 +82,7 @@
     discovery, other = await FakeServer().start(), await FakeServer().start()
     port = int(discovery.address.rpartition(":")[2])
     if not silent:
-        discovery.server.close()  # calls are refused until it listens there again
+        discovery.server.close()  # connections are refused until it listens there again
         await discovery.server.wait_closed()
     changes = {
         "discovery": discovery.address,
--- a/tests/test_pipelining.py
+++ b/tests/test_pipelining.py
@@ -15,7 +15,7 @@
 from tests.sidecar_support import Sidecar, wait_until
 
 LONG_MS = 60_000
-SLACK_MS = 150  # that an endpoint may be told more than the client has left
+SLACK_MS = 150  # by which the deadline stated to an endpoint may exceed what the client has left
 
 
 @asynccontextmanager
