--- a/corkdoor/sidecar/clients/admission.py
+++ b/corkdoor/sidecar/clients/admission.py
@@ -60,11 +60,8 @@
         fields = _read_headers(incoming.headers, lines)
         _check_method(incoming.method, request_class, fields)
         request_id = _request_id(fields)
-        deadline_ms = _number(fields, b"req-deadline-ms", MAX_DEADLINE_MS)
-        if deadline_ms is None:
-            raise HTTPError(HTTPStatus.BAD_REQUEST, "req-deadline-ms: missing")
-        if fields.get(b"req-retry", b"1") not in (b"0", b"1"):
-            raise HTTPError(HTTPStatus.BAD_REQUEST, "req-retry: bad value")
+        deadline_us = incoming.arrived_us + _deadline_ms(fields) * 1000
+        _check_retry_flag(fields)
         cost_hint_us = _number(fields, b"req-cost", MAX_COST_HINT_US)
         tenant = self._tenant(fields)
         if request_id in self._open_ids:
@@ -72,7 +69,6 @@
             raise HTTPError(HTTPStatus.CONFLICT, "req-id: this request is open")
         self._open_ids.add(request_id)
         client.request_id = request_id
-        deadline_us = incoming.arrived_us + deadline_ms * 1000
         if incoming.body or request_class.idempotency is not Idempotency.IDEMPOTENT:
             lines.append(b"Content-Length: %d\r\n" % len(incoming.body))
         return ProxiedRequest(
@@ -130,6 +126,18 @@
     return value
 
 
+def _deadline_ms(fields: dict[bytes, bytes]) -> int:
+    deadline_ms = _number(fields, b"req-deadline-ms", MAX_DEADLINE_MS)
+    if deadline_ms is None:
+        raise HTTPError(HTTPStatus.BAD_REQUEST, "req-deadline-ms: missing")
+    return deadline_ms
+
+
+def _check_retry_flag(fields: dict[bytes, bytes]) -> None:
+    if fields.get(b"req-retry", b"1") not in (b"0", b"1"):
+        raise HTTPError(HTTPStatus.BAD_REQUEST, "req-retry: bad value")
+
+
 def _number(fields: dict[bytes, bytes], key: bytes, maximum: int) -> int | None:
     """A header's value as an integer up to `maximum`; None where the header is missing."""
     text = fields.get(key)
