--- a/tests/test_state_machine.py
+++ b/tests/test_state_machine.py
@@ -5,6 +5,7 @@
 import io
 import logging
 from enum import Enum
+from typing import Any
 
 import pytest
 
@@ -12,6 +13,11 @@
 from corkdoor.policy.discovery.failure_backoff import BACKOFF_TRANSITIONS, BackoffPhase
 from corkdoor.policy.discovery.poll_state import POLL_TRANSITIONS, PollState
 from corkdoor.sidecar.discovery.watcher import WATCHER_TRANSITIONS, WatcherState
+from corkdoor.sidecar.lifecycle import PROCESS_STATES, ProcessState
+from corkdoor.sidecar.proxied_request import REQUEST_STATES, RequestState
+from corkdoor.sidecar.upstream.attempt import ATTEMPT_STATES, AttemptState
+from corkdoor.sidecar.upstream.connection_state import CONNECTION_STATES, ConnectionState
+from corkdoor.sidecar.upstream.response_reader import RESPONSE_PHASES, ResponsePhase
 from corkdoor.state_machine import TransitionTable
 
 
@@ -56,6 +62,7 @@
     assert logged.getvalue() == ""
 
 
+@pytest.mark.makes_illegal_transitions
 def test_illegal_transition_is_counted_and_logged_and_takes_place(
     table: TransitionTable[Door], logged: io.StringIO
 ) -> None:
@@ -70,6 +77,7 @@
     ]
 
 
+@pytest.mark.makes_illegal_transitions
 def test_staying_in_a_state_is_a_transition_like_others(
     table: TransitionTable[Door], logged: io.StringIO
 ) -> None:
@@ -82,3 +90,20 @@
     assert set(POLL_TRANSITIONS.transitions) == set(PollState)
     assert set(BACKOFF_TRANSITIONS.transitions) == set(BackoffPhase)
     assert set(WATCHER_TRANSITIONS.transitions) == set(WatcherState)
+
+
+@pytest.mark.parametrize(
+    ("table", "states"),
+    [
+        (PROCESS_STATES, ProcessState),
+        (REQUEST_STATES, RequestState),
+        (ATTEMPT_STATES, AttemptState),
+        (CONNECTION_STATES, ConnectionState),
+        (RESPONSE_PHASES, ResponsePhase),
+    ],
+)
+def test_tables_of_requests_and_connections_name_every_state(
+    table: TransitionTable[Any], states: type[Enum]
+) -> None:
+    assert set(table.transitions) == set(states)
+    assert set().union(*table.transitions.values()) <= set(states)
