--- a/corkdoor/policy/idle_connections.py
+++ b/corkdoor/policy/idle_connections.py
@@ -29,7 +29,7 @@
     """Learns which idle connections to close.
 
     Attributes:
-        closed_after_us: endpoints close connections that were idle for so long; 0: unknown.
+        closed_after_us: endpoints close connections that were idle for so long; None: unknown.
         unanswered_shares: the share of unanswered attempts, by step.
     """
 
@@ -57,7 +57,7 @@
         return step
 
     def _step(self, idle_us: int) -> int:
-        if 0 < self.closed_after_us <= idle_us:
+        if self.closed_after_us is not None and idle_us >= self.closed_after_us:
             return FRESH
         return min((idle_us // MIN_IDLE_US).bit_length(), FRESH - 1)
 
--- a/corkdoor/settings.py
+++ b/corkdoor/settings.py
@@ -108,7 +108,8 @@
         hedging_allowed: whether a request may have a second attempt out beside the first.
         cancellation_allowed: whether attempts that nobody waits for are cancelled.
         retry_after_allowed: whether a rejection carries a Retry-After.
-        idle_connection_us: endpoints close connections that were idle for so long; 0: unknown.
+        idle_connection_us: endpoints close connections that were idle for so long, in microseconds; None:
+            unknown.
         connect_timeout_us: a connection that is not up by then has failed, in microseconds.
     """
 
@@ -117,12 +118,12 @@
     hedging_allowed: bool = False
     cancellation_allowed: bool = False
     retry_after_allowed: bool = False
-    idle_connection_us: int = 0
+    idle_connection_us: int | None = None
     connect_timeout_us: int = 250_000
 
     def __post_init__(self) -> None:
         _require_bounded(self)
-        _require(self.idle_connection_us >= 0, "idle_connection_us", "must not be negative")
+        _require((self.idle_connection_us or 0) >= 0, "idle_connection_us", "must not be negative")
         _require(self.connect_timeout_us > 0, "connect_timeout_us", "must be above 0")
         _require(self.max_attempts >= 1, "max_attempts", "must be at least 1")
         _require(self.max_retry_after_us >= 0, "max_retry_after_us", "must not be negative")
--- a/corkdoor/settings_parsers.py
+++ b/corkdoor/settings_parsers.py
@@ -26,6 +26,11 @@
     return value
 
 
+def parse_optional_integer(value: object, key: str) -> int | None:
+    """Parse an integer for which 0 stands for none."""
+    return parse_integer(value, key) or None
+
+
 def parse_number(value: object, key: str) -> float:
     """Parse a number."""
     if not isinstance(value, int | float) or isinstance(value, bool):
--- a/corkdoor/settings_reader.py
+++ b/corkdoor/settings_reader.py
@@ -30,6 +30,7 @@
     parse_names,
     parse_number,
     parse_object,
+    parse_optional_integer,
     parse_text,
 )
 
@@ -164,7 +165,7 @@
     SettingKey("MaxRetryAfterUs", "max_retry_after_us", parse_integer),
     SettingKey("SecondCopies", "hedging_allowed", parse_flag),
     SettingKey("MayCancel", "cancellation_allowed", parse_flag),
-    SettingKey("ConnIdleUs", "idle_connection_us", parse_integer),
+    SettingKey("ConnIdleUs", "idle_connection_us", parse_optional_integer),
     SettingKey("ConnectTimeoutUs", "connect_timeout_us", parse_integer),
     SettingKey("RetryAfter", "retry_after_allowed", parse_flag),
 )
--- a/corkdoor/sidecar/upstream/manager.py
+++ b/corkdoor/sidecar/upstream/manager.py
@@ -32,12 +32,12 @@
     """What bounds the pools.
 
     Attributes:
-        idle_timeout_us: after how long endpoints close idle connections; 0: unknown.
+        idle_timeout_us: after how long endpoints close idle connections; None: unknown.
         connect_timeout_us: how long a connection may take to come up.
         max_connections: how many may be open or coming up, to all endpoints together.
     """
 
-    idle_timeout_us: int
+    idle_timeout_us: int | None
     connect_timeout_us: int
     max_connections: int
 
--- a/tests/test_event_order.py
+++ b/tests/test_event_order.py
@@ -57,7 +57,7 @@
         max_attempts=st.integers(1, 4),
         hedging_allowed=st.booleans(),
         cancellation_allowed=st.booleans(),
-        idle_connection_us=st.sampled_from((0, S)),
+        idle_connection_us=st.sampled_from((None, S)),
     ),
 )
 STEPS = st.one_of(
