--- a/corkdoor/sidecar/clients/read_flow.py
+++ b/corkdoor/sidecar/clients/read_flow.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from corkdoor.sidecar.clients.states import READ_STATES, ReadState
+from corkdoor.sidecar.clients.states import READ_TRANSITIONS, ReadState
 from corkdoor.sidecar.clock import now_us
 from corkdoor.sidecar.transport.receiver import READ_BYTES
 from corkdoor.sidecar.transport.stream import StreamTransport
@@ -33,7 +33,7 @@
         """Leave input in the kernel."""
         if self.is_paused or self._transport.is_closing():
             return
-        self._state = READ_STATES.check(self._state, PAUSED)
+        self._state = READ_TRANSITIONS.check(self._state, PAUSED)
         if self._unread_since_us is None:
             self._unread_since_us = now_us()
         self._transport.pause_reading()
@@ -42,7 +42,7 @@
         """Read again."""
         if not self.is_paused or self._transport.is_closing():
             return
-        self._state = READ_STATES.check(self._state, READING)
+        self._state = READ_TRANSITIONS.check(self._state, READING)
         if not self._transport.has_input():
             self._unread_since_us = None  # nothing came meanwhile
         self._transport.resume_reading()
--- a/corkdoor/sidecar/transport/states.py
+++ b/corkdoor/sidecar/transport/states.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from enum import IntEnum
+from enum import IntEnum, auto
 
 from corkdoor.state_machine import TransitionTable
 
@@ -10,50 +10,50 @@
 class TransportState(IntEnum):
     """The life of one connection."""
 
-    OPEN = 1
-    CLOSING = 2  # closed by the protocol: the connection ends once all output is sent
-    CLOSED = 3  # the descriptor has been given back
+    OPEN = auto()
+    CLOSING = auto()  # closed by the protocol: the connection ends once all output is sent
+    CLOSED = auto()  # the descriptor has been given back
 
 
 class ReceiveState(IntEnum):
     """What happens to input."""
 
-    READING = 1
-    PAUSED = 2  # input stays in the kernel
-    ENDED = 3  # the peer has ended its output, or the connection ends
+    READING = auto()
+    PAUSED = auto()  # input stays in the kernel
+    ENDED = auto()  # the peer has ended its output, or the connection ends
 
 
 class SendState(IntEnum):
     """What happens to output."""
 
-    OPEN = 1
-    ENDING = 2  # nothing more is accepted; what is buffered is still sent
-    ENDED = 3
+    OPEN = auto()
+    ENDING = auto()  # nothing more is accepted; what is buffered is still sent
+    ENDED = auto()
 
 
 class WriterState(IntEnum):
     """Whether the protocol may write: it is told to stop while too much output is buffered."""
 
-    WRITABLE = 1
-    PAUSED = 2
+    WRITABLE = auto()
+    PAUSED = auto()
 
 
 class WatchState(IntEnum):
     """What a watch on a descriptor's readiness is doing."""
 
-    OFF = 1
-    WATCHING = 2
-    RETRYING = 3  # a system call failed for want of memory: a timer runs until the next try
+    OFF = auto()
+    WATCHING = auto()
+    RETRYING = auto()  # a system call failed for want of memory: a timer runs until the next try
 
 
 class ListenerState(IntEnum):
     """The life of a listening socket."""
 
-    OPEN = 1
-    CLOSED = 2
+    OPEN = auto()
+    CLOSED = auto()
 
 
-TRANSPORT_STATES = TransitionTable(
+TRANSPORT_TRANSITIONS = TransitionTable(
     "stream_transport",
     {
         TransportState.OPEN: frozenset((TransportState.CLOSING, TransportState.CLOSED)),
@@ -61,7 +61,7 @@
         TransportState.CLOSED: frozenset(),
     },
 )
-RECEIVE_STATES = TransitionTable(
+RECEIVE_TRANSITIONS = TransitionTable(
     "stream_receiver",
     {
         ReceiveState.READING: frozenset((ReceiveState.PAUSED, ReceiveState.ENDED)),
@@ -69,7 +69,7 @@
         ReceiveState.ENDED: frozenset(),
     },
 )
-SEND_STATES = TransitionTable(
+SEND_TRANSITIONS = TransitionTable(
     "stream_sender",
     {
         SendState.OPEN: frozenset((SendState.ENDING, SendState.ENDED)),
@@ -77,14 +77,14 @@
         SendState.ENDED: frozenset(),
     },
 )
-WRITER_STATES = TransitionTable(
+WRITER_TRANSITIONS = TransitionTable(
     "stream_writer",
     {
         WriterState.WRITABLE: frozenset((WriterState.PAUSED,)),
         WriterState.PAUSED: frozenset((WriterState.WRITABLE,)),
     },
 )
-WATCH_STATES = TransitionTable(
+WATCH_TRANSITIONS = TransitionTable(
     "readiness_watch",
     {
         WatchState.OFF: frozenset((WatchState.WATCHING, WatchState.RETRYING)),
@@ -92,7 +92,7 @@
         WatchState.RETRYING: frozenset((WatchState.OFF,)),
     },
 )
-LISTENER_STATES = TransitionTable(
+LISTENER_TRANSITIONS = TransitionTable(
     "listener",
     {
         ListenerState.OPEN: frozenset((ListenerState.CLOSED,)),
--- a/emulator/breakdown.py
+++ b/emulator/breakdown.py
@@ -26,10 +26,11 @@
 from corkdoor.sidecar.attempt_sender import AttemptSender
 from corkdoor.sidecar.clients.connection import ClientConnection
 from corkdoor.sidecar.clients.server import Server
+from corkdoor.sidecar.clients.timeouts import ClientTimeouts
 from corkdoor.sidecar.discovery.client import DiscoveryClient
 from corkdoor.sidecar.request_registry import RequestRegistry
 from corkdoor.sidecar.upstream.connection import Connection
-from corkdoor.sidecar.upstream.pool import EndpointPool
+from corkdoor.sidecar.upstream.connection_pool import ConnectionPool
 from emulator.sidecar import VARIABLE
 
 # The step's name, its class or module, and its method or function.
@@ -42,7 +43,7 @@
     ("module pick", EndpointChooser, "choose"),
     ("module refill", TokenBuckets, "refill"),
     ("hand off", proxy.Proxy, "send_attempt"),
-    ("take connection", EndpointPool, "acquire"),
+    ("take connection", ConnectionPool, "acquire"),
     ("poll for staleness", Connection, "is_stale"),
     ("write to endpoint", Connection, "send"),
     ("read answer", Connection, "data_received"),
@@ -51,7 +52,7 @@
     ("write to caller", ClientConnection, "answer"),
     ("alarm set", clock.Alarm, "_arm"),
     ("alarm cancelled", clock.Alarm, "cancel"),
-    ("chore: check callers", ClientConnection, "check_timeouts"),
+    ("chore: check callers", ClientTimeouts, "check"),
     ("chore: report", process, "status_line"),
     ("list taken", proxy.Proxy, "on_watch_event"),
     ("watch", DiscoveryClient, "on_response"),
--- a/tests/test_discovery_address.py
+++ b/tests/test_discovery_address.py
@@ -10,7 +10,8 @@
 
 from corkdoor.policy.discovery.watch_timeout import FIRST_MS, MAX_MS
 from corkdoor.sidecar.config import Address
-from tests.sidecar_support import Fake, Sidecar, listing, row, run
+from tests.fake_server import FakeServer, endpoint_list, endpoint_row
+from tests.sidecar_support import Sidecar, run
 
 
 def test_watch_at_a_new_address_begins_with_the_complete_list() -> None:
@@ -19,24 +20,24 @@
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
             stays, goes = sidecar.endpoints
-            (await sidecar.discovery.next()).reply(200, listing(90, False))
-            await sidecar.discovery.next()
-            other = await Fake().start()
+            (await sidecar.discovery.next_request()).reply(200, endpoint_list(90, False))
+            await sidecar.discovery.next_request()
+            other = await FakeServer().start()
             host, _, port = other.address.rpartition(":")
             sidecar.proxy.watcher.change_address(host, int(port))
             sidecar.proxy.watcher.start()
             await sidecar.discovery.ends.get()  # the old watch is closed
-            asked = await other.next()
+            asked = await other.next_request()
             assert asked.message.first == "GET /discovery/hosts HTTP/1.1"
             assert all(pool.ready for pool in sidecar.proxy.upstream.pools.values())
-            asked.reply(200, listing(4, True, row("s-0", stays.address)))
-            assert (await other.next()).message.first.startswith("GET /discovery/hosts?after=4&")
+            asked.reply(200, endpoint_list(4, True, endpoint_row("s-0", stays.address)))
+            assert (await other.next_request()).message.first.startswith("GET /discovery/hosts?after=4&")
             client = await sidecar.client()
             for _ in range(6):
                 client.send()
-                (await stays.next()).reply()
+                (await stays.next_request()).reply()
                 assert (await client.answer()).status == 200
-            assert goes.asked.empty()
+            assert goes.requests.empty()
 
     run(test())
 
@@ -46,16 +47,16 @@
 
     async def test() -> None:
         async with Sidecar() as sidecar:
-            other = await Fake().start()
+            other = await FakeServer().start()
             host, _, port = other.address.rpartition(":")
             sidecar.proxy.balancer.discovery.backoff.interval_us = 60_000_000  # as after a long outage
             sidecar.proxy.reload(replace(sidecar.config, discovery=Address(host, int(port))))
             begun = time.monotonic()
             for _ in range(2):
-                (await other.next()).reply(503, b"")
-            (await other.next()).reply(200, listing(4, True))
+                (await other.next_request()).reply(503, b"")
+            (await other.next_request()).reply(200, endpoint_list(4, True))
             assert time.monotonic() - begun < 3.0
-            await other.next()
+            await other.next_request()
 
     run(test())
 
@@ -67,18 +68,18 @@
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
             stays, goes = sidecar.endpoints
-            asked = await sidecar.discovery.next()
-            body = listing(2, True, row("s-0", stays.address))
+            asked = await sidecar.discovery.next_request()
+            body = endpoint_list(2, True, endpoint_row("s-0", stays.address))
             asked.writer.write(b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n" % len(body) + body[:-20])
             await asked.writer.drain()
             if ends:
                 asked.writer.close()
-            again = await asyncio.wait_for(sidecar.discovery.next(), 1.0)
+            again = await asyncio.wait_for(sidecar.discovery.next_request(), 1.0)
             assert again.message.first.startswith("GET /discovery/hosts?after=1&")
             again.reply(200, body)
-            await sidecar.discovery.next()
+            await sidecar.discovery.next_request()
             assert list(sidecar.proxy.upstream.pools) == ["s-0"]
-            assert goes.asked.empty()
+            assert goes.requests.empty()
 
     run(test())
 
@@ -90,13 +91,13 @@
         async with Sidecar() as sidecar:
             waits = []
             for generation in range(2, 7):
-                asked = await sidecar.discovery.next()
+                asked = await sidecar.discovery.next_request()
                 waits.append(int(asked.message.first.partition("wait_ms=")[2].partition(" ")[0]))
-                asked.reply(200, listing(generation, False))
+                asked.reply(200, endpoint_list(generation, False))
             assert FIRST_MS * 0.75 <= waits[0] <= FIRST_MS
             assert waits[0] < waits[-1] <= MAX_MS
-            (await sidecar.discovery.next()).reply(503, b"")
-            asked = await sidecar.discovery.next()
+            (await sidecar.discovery.next_request()).reply(503, b"")
+            asked = await sidecar.discovery.next_request()
             assert int(asked.message.first.partition("wait_ms=")[2].partition(" ")[0]) <= FIRST_MS
 
     run(test())
@@ -105,15 +106,17 @@
 def test_change_to_the_same_address_takes_the_complete_list_again() -> None:
     async def test() -> None:
         async with Sidecar() as sidecar:
-            await sidecar.discovery.next()
+            await sidecar.discovery.next_request()
             watcher = sidecar.proxy.watcher
             for _ in range(3):  # in a row, before any has been answered
                 watcher.change_address(watcher.host, watcher.port)
                 watcher.start()
-            asked = await sidecar.discovery.next()
+            asked = await sidecar.discovery.next_request()
             assert asked.message.first == "GET /discovery/hosts HTTP/1.1"
-            asked.reply(200, listing(2, True, row("s-0", sidecar.endpoints[0].address)))
-            assert (await sidecar.discovery.next()).message.first.startswith("GET /discovery/hosts?after=2&")
-            assert sidecar.discovery.asked.empty()
+            asked.reply(200, endpoint_list(2, True, endpoint_row("s-0", sidecar.endpoints[0].address)))
+            assert (await sidecar.discovery.next_request()).message.first.startswith(
+                "GET /discovery/hosts?after=2&"
+            )
+            assert sidecar.discovery.requests.empty()
 
     run(test())
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -9,11 +9,7 @@
 
 from corkdoor.sidecar import proxied_request
 from corkdoor.sidecar.lifecycle import ProcessState
-from tests.sidecar_support import (
-    Sidecar,
-    run,
-    succeeds,
-)
+from tests.sidecar_support import Sidecar, run, serve_request
 
 
 def test_request_and_answer_pass_unchanged() -> None:
@@ -21,7 +17,7 @@
         async with Sidecar() as sidecar:
             client = await sidecar.client()
             client.send("hold", deadline_ms=900, body=b"\x00\x01two", request_id="00aa")
-            asked = await sidecar.endpoints[0].next()
+            asked = await sidecar.endpoints[0].next_request()
             assert asked.message.first == "POST /hold/a?b=1 HTTP/1.1"
             assert asked.message.headers["host"] == "service.internal"
             assert asked.message.headers["req-id"] == "00aa"
@@ -42,7 +38,7 @@
             client = await sidecar.client()
             for _ in range(3):
                 client.send()
-                asked = await sidecar.endpoints[0].next()
+                asked = await sidecar.endpoints[0].next_request()
                 asked.reply()
                 assert (await client.answer()).status == 200
             assert sidecar.endpoints[0].connections == 1
@@ -57,7 +53,7 @@
             for i in range(3):
                 client.send(body=b"%d" % i)
             for _ in range(3):
-                asked = await sidecar.endpoints[0].next()
+                asked = await sidecar.endpoints[0].next_request()
                 asked.reply(200, asked.message.body)
             assert [(await client.answer()).body for _ in range(3)] == [b"0", b"1", b"2"]
 
@@ -70,11 +66,11 @@
             client = await sidecar.client()
             client.send(body=b"0")
             client.send(body=b"1")
-            asked = await sidecar.endpoints[0].next()
+            asked = await sidecar.endpoints[0].next_request()
             sidecar.proxy.lifecycle.enter(ProcessState.DRAINING)
             sidecar.proxy.lifecycle.enter(ProcessState.CLOSING)
             asked.reply(200, asked.message.body)
-            asked = await sidecar.endpoints[0].next()
+            asked = await sidecar.endpoints[0].next_request()
             asked.reply(200, asked.message.body)
             assert [(await client.answer()).body for _ in range(2)] == [b"0", b"1"]
             assert await client.reader.read() == b""
@@ -87,7 +83,7 @@
         async with Sidecar() as sidecar:
             client = await sidecar.client()
             client.send("look", Connection="Upgrade", Upgrade="websocket")
-            asked = await sidecar.endpoints[0].next()
+            asked = await sidecar.endpoints[0].next_request()
             assert "upgrade" not in asked.message.headers
             asked.reply()
             answer = await client.answer()
@@ -111,9 +107,9 @@
                 patch.setattr(sidecar.proxy.balancer, event, broken)
                 client.send()
                 if event == "on_attempt_end":
-                    (await sidecar.endpoints[0].next()).reply(500)
+                    (await sidecar.endpoints[0].next_request()).reply(500)
                 assert (await client.answer()).status == 500
-            await succeeds(client, sidecar.endpoints[0])
+            await serve_request(client, sidecar.endpoints[0])
             assert not sidecar.proxy.requests
 
     run(test())
@@ -128,7 +124,7 @@
             monkeypatch.setattr(proxied_request, "MARGIN_SHARE", 1.0)
             monkeypatch.setattr(sidecar.proxy.balancer, "on_request", lambda *_: None)
             begun = time.monotonic()
-            assert (await (await sidecar.client()).ask(deadline_ms=2000)).status == 504
+            assert (await (await sidecar.client()).request(deadline_ms=2000)).status == 504
             assert time.monotonic() - begun < 1.5
 
     run(test())
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -15,10 +15,11 @@
 from corkdoor.sidecar.proxied_request import ProxiedRequest
 from corkdoor.sidecar.upstream.attempt import Attempt
 from corkdoor.sidecar.upstream.connection import Connection
-from corkdoor.sidecar.upstream.pool import EndpointPool
-from tests.sidecar_support import Fake, Sidecar, row, run
+from corkdoor.sidecar.upstream.connection_pool import ConnectionPool
+from tests.fake_server import FakeServer, endpoint_row
+from tests.sidecar_support import Sidecar, run
 
-COUNTED = (Alarm, Attempt, ClientConnection, Connection, EndpointPool, ProxiedRequest)
+COUNTED = (Alarm, Attempt, ClientConnection, Connection, ConnectionPool, ProxiedRequest)
 
 
 def live_objects() -> Counter[str]:
@@ -26,50 +27,54 @@
     return Counter(type(o).__name__ for o in gc.get_objects() if isinstance(o, COUNTED))
 
 
+async def play_request(sidecar: Sidecar, ending: str) -> None:
+    """Play one request of a new client, which ends like this."""
+    client = await sidecar.client()
+    client.send(
+        deadline_ms=80 if ending == "timed out" else 2500,
+        Req_Owner="?" if ending == "rejected" else "acme",
+    )
+    if ending != "rejected":
+        received = await sidecar.endpoints[0].next_request()
+        if ending == "answered":
+            received.reply(200, b"done", "Connection: close")
+        elif ending == "malformed answer":
+            received.writer.write(b"noise\r\n\r\n")
+    if ending == "client left":
+        client.writer.close()
+        await sidecar.endpoints[0].ends.get()
+    else:
+        await client.answer()
+    client.writer.close()
+
+
+async def wait_until_closed(sidecar: Sidecar) -> None:
+    """Wait until all connections of clients and to endpoints are closed."""
+    while sidecar.server.clients or sidecar.proxy.requests or sidecar.proxy.upstream.open_connections:
+        await asyncio.sleep(0.01)
+    await asyncio.sleep(0.05)  # what was aborted is let go of in the loop's next turns
+
+
 @pytest.mark.parametrize("ending", ["answered", "rejected", "client left", "malformed answer", "timed out"])
 def test_closed_connections_leave_no_reference_cycles(ending: str) -> None:
     """Full collections are rare in service: what hangs in a cycle would pile up."""
 
-    async def play_request(sidecar: Sidecar) -> None:
-        client = await sidecar.client()
-        client.send(
-            deadline_ms=80 if ending == "timed out" else 2500,
-            Req_Owner="?" if ending == "rejected" else "acme",
-        )
-        if ending != "rejected":
-            received = await sidecar.endpoints[0].next()
-            if ending == "answered":
-                received.reply(200, b"done", "Connection: close")
-            elif ending == "malformed answer":
-                received.writer.write(b"noise\r\n\r\n")
-        if ending == "client left":
-            client.writer.close()
-            await sidecar.endpoints[0].ends.get()
-        else:
-            await client.answer()
-        client.writer.close()
-
     async def test() -> None:
         async with Sidecar(MayCancel=True) as sidecar:
-            await play_request(sidecar)
+            await play_request(sidecar, ending)
             await wait_until_closed(sidecar)
             gc.collect()
             gc.disable()
             try:
                 before = live_objects()
                 for _ in range(10):
-                    await play_request(sidecar)
+                    await play_request(sidecar, ending)
                 await wait_until_closed(sidecar)
                 # The last request may still be on its way out; a leak would grow with each of them.
                 assert max((live_objects() - before).values(), default=0) <= 2
             finally:
                 gc.enable()
 
-    async def wait_until_closed(sidecar: Sidecar) -> None:
-        while sidecar.server.clients or sidecar.proxy.requests or sidecar.proxy.upstream.open_connections:
-            await asyncio.sleep(0.01)
-        await asyncio.sleep(0.05)  # what was aborted is let go of in the loop's next turns
-
     run(test())
 
 
@@ -79,9 +84,12 @@
         async with Sidecar(endpoints=1) as sidecar:
             address = sidecar.endpoints[0].address
             for i in range(50):
-                rows = [row(f"s-{i + 1}", address)]
+                rows = [endpoint_row(f"s-{i + 1}", address)]
                 if kind is WatchEventKind.DELTA:
-                    rows += [row(f"s-{i}", address, "draining"), row(f"s-{i}", address, "gone")]
+                    rows += [
+                        endpoint_row(f"s-{i}", address, "draining"),
+                        endpoint_row(f"s-{i}", address, "gone"),
+                    ]
                 listing = read_endpoint_list({"generation": i, "reset": False, "instances": rows})
                 sidecar.proxy.on_watch_event(kind, listing.entries)
             assert list(sidecar.proxy.upstream.pools) == ["s-50"]
@@ -95,17 +103,17 @@
 
     async def test() -> None:
         async with Sidecar(endpoints=1) as sidecar:
-            fake: Fake = sidecar.endpoints[0]
+            fake: FakeServer = sidecar.endpoints[0]
             old_client, new_client = await sidecar.client(), await sidecar.client()
             old_client.send()
-            old = await fake.next()
-            rows = [row("s-0", fake.address, "gone"), row("s-1", fake.address)]
+            old = await fake.next_request()
+            rows = [endpoint_row("s-0", fake.address, "gone"), endpoint_row("s-1", fake.address)]
             listing = read_endpoint_list({"generation": 2, "reset": False, "instances": rows})
             sidecar.proxy.on_watch_event(WatchEventKind.DELTA, listing.entries)
             balancer = sidecar.proxy.balancer
             assert set(balancer.endpoints) == {"s-0", "s-1"}  # an attempt is in flight at the first
             new_client.send()
-            new = await fake.next()
+            new = await fake.next_request()
             assert new.connection != old.connection
             old.reply()
             assert (await old_client.answer()).status == 200
