--- a/corkdoor/sidecar/upstream/connection_pool.py
+++ b/corkdoor/sidecar/upstream/connection_pool.py
@@ -2,21 +2,41 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from corkdoor.model import Outcome
 from corkdoor.sidecar.clock import now_us
+from corkdoor.sidecar.upstream.attempt import Attempt
 from corkdoor.sidecar.upstream.connection import Connection
 from corkdoor.sidecar.upstream.connection_state import REQUEST_SENT, ConnectionState
 from corkdoor.sidecar.upstream.response import Response, classify
 
-if TYPE_CHECKING:
-    from corkdoor.sidecar.upstream.pool_manager import PoolManager
+
+class PoolOwner(Protocol):
+    """What all pools share.
+
+    Attributes:
+        open_connections: those that are up or coming up.
+        max_connections: how many may be.
+        pools_with_idle: the pools that have, or lately had, idle connections.
+        active: the attempt that is out on each connection.
+    """
+
+    open_connections: int
+    max_connections: int
+    pools_with_idle: dict[ConnectionPool, None]
+    active: dict[Connection, Attempt]
 
 
 class ConnectionPool:
     """The keep-alive connections to one process of one endpoint.
 
+    Args:
+        owner: what it shares with the other pools.
+        host: the endpoint's host.
+        port: its port.
+        started_us: when its process started, as discovery states it; None: unknown.
+
     Attributes:
         ready: whether anything new may begin here; False for good once the endpoint is removed.
         idle: its idle connections, the most recently used last.
@@ -24,8 +44,8 @@
         last_sent: what the log calls that attempt.
     """
 
-    def __init__(self, manager: PoolManager, host: str, port: int, started_us: int | None) -> None:
-        self.manager = manager
+    def __init__(self, owner: PoolOwner, host: str, port: int, started_us: int | None) -> None:
+        self.owner = owner
         self.host = host
         self.port = port
         self.started_us = started_us
@@ -41,18 +61,18 @@
             if not connection.is_stale():
                 return connection
             connection.close()
-            self.manager.open_connections -= 1
+            self.owner.open_connections -= 1
         return None
 
     def release(self, connection: Connection) -> None:
         """Take a connection back for the next attempt, or close it where none may follow."""
-        if self.ready and self.manager.open_connections <= self.manager.max_connections:
+        if self.ready and self.owner.open_connections <= self.owner.max_connections:
             connection.idle_since_us = now_us()
             self.idle.append(connection)
-            self.manager.pools_with_idle[self] = None
+            self.owner.pools_with_idle[self] = None
         else:
             connection.close()
-            self.manager.open_connections -= 1
+            self.owner.open_connections -= 1
 
     def close_idle(self, used_before_us: int | None = None) -> None:
         """Close idle connections: all of them, or those not used since before that time."""
@@ -62,17 +82,17 @@
     def close_longest_idle(self) -> None:
         """Close the idle connection that was used least recently."""
         self.idle.pop(0).close()
-        self.manager.open_connections -= 1
+        self.owner.open_connections -= 1
 
     # --- callbacks of its connections ---
 
     def on_response(self, connection: Connection, response: Response, reusable: bool) -> None:
         """End the attempt by its response."""
-        attempt = self.manager.active.pop(connection, None)
+        attempt = self.owner.active.pop(connection, None)
         if reusable:
             self.release(connection)
         else:
-            self.manager.open_connections -= 1
+            self.owner.open_connections -= 1
         if attempt is not None:
             attempt.end(classify(response), response)
 
@@ -81,8 +101,8 @@
 
         A request that was not wholly written never ran: endpoints begin with the last byte.
         """
-        self.manager.open_connections -= 1
-        attempt = self.manager.active.pop(connection, None)
+        self.owner.open_connections -= 1
+        attempt = self.owner.active.pop(connection, None)
         if connection in self.idle:
             self.idle.remove(connection)
         if attempt is not None:
