--- a/tests/test_discovery_address.py
+++ b/tests/test_discovery_address.py
@@ -11,7 +11,7 @@
 from corkdoor.policy.discovery.watch_timeout import FIRST_MS, MAX_MS
 from corkdoor.sidecar.config import Address
 from tests.fake_server import FakeServer, endpoint_list, endpoint_row
-from tests.sidecar_support import Sidecar, run
+from tests.sidecar_support import Sidecar, run, serve_request
 
 
 def test_watch_at_a_new_address_begins_with_the_complete_list() -> None:
@@ -34,9 +34,7 @@
             assert (await other.next_request()).message.first.startswith("GET /discovery/hosts?after=4&")
             client = await sidecar.client()
             for _ in range(6):
-                client.send()
-                (await stays.next_request()).reply()
-                assert (await client.answer()).status == 200
+                await serve_request(client, stays)
             assert goes.requests.empty()
 
     run(test())
--- a/tests/test_endpoint_updates.py
+++ b/tests/test_endpoint_updates.py
@@ -117,9 +117,7 @@
             await sidecar.discovery.next_request()
             for _ in range(8):
                 client = await sidecar.client()
-                client.send()
-                (await stays.next_request()).reply()
-                assert (await client.answer()).status == 200
+                await serve_request(client, stays)
             assert goes.connections == 0
 
     run(test())
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -60,21 +60,21 @@
 
     async def test() -> None:
         async with Sidecar() as sidecar:
-            callers: list[socket.socket] = []
+            sockets: list[socket.socket] = []
 
             def connect() -> None:
                 for i in range(3):
-                    callers.append(socket.create_connection(("127.0.0.1", sidecar.port)))
-                    callers[-1].sendall(REQUEST % i)
+                    sockets.append(socket.create_connection(("127.0.0.1", sidecar.port)))
+                    sockets[-1].sendall(REQUEST % i)
 
             on_log("event=shutdown_closing clients=0 ", connect)
-            drain = asyncio.create_task(shut_down(sidecar.server, sidecar.proxy, SHORT))
+            shutdown = asyncio.create_task(shut_down(sidecar.server, sidecar.proxy, SHORT))
             for _ in range(3):
                 (await sidecar.endpoints[0].next_request()).reply()
-            for sock in callers:
+            for sock in sockets:
                 client = Client(*await asyncio.open_connection(sock=sock))
                 assert (await client.answer()).status == 200
-            await drain
+            await shutdown
 
     run(test())
 
@@ -87,7 +87,7 @@
             await sidecar.endpoints[0].next_request()
             client.send(deadline_ms=30_000)
             client.send(deadline_ms=30_000)
-            while sum(caller.waiting_requests for caller in sidecar.server.clients) < 2:
+            while sum(connection.waiting_requests for connection in sidecar.server.clients) < 2:
                 await asyncio.sleep(0.01)
             await shut_down(sidecar.server, sidecar.proxy, SHORT)
             assert [(await client.answer()).status for _ in range(3)] == [504, 503, 503]
@@ -105,13 +105,13 @@
         async with Sidecar() as sidecar:
             client = await sidecar.client()
             client.writer.write(REQUEST[:-1] % 1)
-            while not any(caller.is_receiving for caller in sidecar.server.clients):
+            while not any(connection.is_receiving for connection in sidecar.server.clients):
                 await asyncio.sleep(0.01)
-            drain = asyncio.create_task(shut_down(sidecar.server, sidecar.proxy, SHORT))
+            shutdown = asyncio.create_task(shut_down(sidecar.server, sidecar.proxy, SHORT))
             answer = await client.answer()
             assert (answer.status, answer.headers["connection"]) == (503, "close")
             client.writer.close()
-            await drain
+            await shutdown
             assert sidecar.endpoints[0].requests.empty()
 
     run(test())
@@ -128,7 +128,7 @@
             busy.send(deadline_ms=30_000)
             await sidecar.endpoints[0].next_request()
             late.sendall(REQUEST[:-1] % 1)
-            while not any(caller.is_receiving for caller in sidecar.server.clients):
+            while not any(connection.is_receiving for connection in sidecar.server.clients):
                 await asyncio.sleep(0.01)
             on_log("event=shutdown_rejecting ", lambda: late.sendall(b"x" + REQUEST % 2))
             await shut_down(sidecar.server, sidecar.proxy, SHORT)
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -62,14 +62,14 @@
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
             client = await sidecar.client()
-            client.send("pay", request_id="told")
+            client.send("pay", request_id="r-7")
             (await first_request(sidecar)).reply(503, b"", "Srv-Declined: 1")
             (await first_request(sidecar)).reply(500, b"")
             assert (await client.answer()).status == 502
 
     with caplog.at_level(logging.INFO):
         run(test())
-    (line,) = [record.message for record in caplog.records if "request=told" in record.message]
-    assert line.startswith("event=request_failed request=told status=502 ")
+    (line,) = [record.message for record in caplog.records if "request=r-7" in record.message]
+    assert line.startswith("event=request_failed request=r-7 status=502 ")
     assert ":rejected:" in line
     assert ":error:" in line
--- a/tests/test_process_reload.py
+++ b/tests/test_process_reload.py
@@ -101,13 +101,13 @@
         async with running_program(tmp_path, {}) as running:
             file = tmp_path / "config.json"
             digest = write_settings(tmp_path, Categories=[{**PAY, "Name": "new"}])
-            whole = file.read_text(encoding="utf-8")
-            file.write_text(whole[: len(whole) // 2], encoding="utf-8")
+            text = file.read_text(encoding="utf-8")
+            file.write_text(text[: len(text) // 2], encoding="utf-8")
             send_sighup(running)
             await running.line_with("event=config_rejected key=GW_CONFIG ")
             client = await running.client()
             await serve_request(client, running.endpoint, "pay")
-            file.write_text(whole, encoding="utf-8")
+            file.write_text(text, encoding="utf-8")
             send_sighup(running)
             await running.line_with(f"event=config_reloaded changed=True settings={digest} ")
             await serve_request(client, running.endpoint, "new")
@@ -169,8 +169,8 @@
 
     async def test() -> None:
         first, second = [await FakeServer().start() for _ in range(2)]
-        told = {"discovery": first.address}
-        async with running_program(tmp_path, told, GW_DISCOVERY=first.address) as running:
+        changes = {"discovery": first.address}
+        async with running_program(tmp_path, changes, GW_DISCOVERY=first.address) as running:
             file = tmp_path / "config.json"
             await first.next_request()
             client = await running.client()
--- a/tests/test_settings_reload.py
+++ b/tests/test_settings_reload.py
@@ -129,9 +129,7 @@
             assert asked.message.first.startswith("GET /discovery/hosts?after=2&")
             assert (sidecar.discovery.connections, sidecar.discovery.ends.qsize()) == (1, 0)
             asked.reply(503, b"")
-            await (
-                sidecar.discovery.next_request()
-            )  # either form asks again, the module's or the watch's own way
+            await sidecar.discovery.next_request()  # either mode polls again, by the balancer or by the watch
 
     run(test())
 
@@ -199,8 +197,8 @@
 
 def test_digest_depends_only_on_what_the_settings_state(tmp_path: Path) -> None:
     def digest(settings: dict[str, Any], **document: Any) -> str:
-        told = {"listen": "a:1", "discovery": "a:2", "seed": "1", "settings": settings, **document}
-        (tmp_path / "c").write_text(json.dumps(told, indent=len(document)), encoding="utf-8")
+        stated = {"listen": "a:1", "discovery": "a:2", "seed": "1", "settings": settings, **document}
+        (tmp_path / "c").write_text(json.dumps(stated, indent=len(document)), encoding="utf-8")
         return load({"GW_CONFIG": str(tmp_path / "c")}).digest
 
     first = digest(SETTINGS)
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -20,7 +20,7 @@
 from corkdoor.sidecar.upstream.pool_manager import PoolLimits, PoolManager
 from corkdoor.sidecar.upstream.response import Response
 from tests.fake_server import endpoint_list, endpoint_row
-from tests.sidecar_support import SETTINGS, Sidecar, first_request, run, send_first_attempt
+from tests.sidecar_support import SETTINGS, Sidecar, first_request, run, send_first_attempt, serve_request
 
 HERE = Location("a", 0)
 
@@ -63,9 +63,7 @@
             await sidecar.endpoints[0].server.wait_closed()
             for _ in range(8):  # each draws its endpoint at random
                 client = await sidecar.client()
-                client.send()
-                (await sidecar.endpoints[1].next_request()).reply()
-                assert (await client.answer()).status == 200
+                await serve_request(client, sidecar.endpoints[1])
 
     run(test())
 
