--- a/tests/test_list_freshness.py
+++ b/tests/test_list_freshness.py
@@ -17,7 +17,7 @@
 from corkdoor.sidecar.invariants import Invariant
 from corkdoor.sidecar.status_report import status_line
 from tests.fake_server import endpoint_list, endpoint_row
-from tests.sidecar_support import Sidecar, run
+from tests.sidecar_support import Sidecar
 from tests.support import MS, S, settings
 
 GRACE_US = 1_500 * MS
@@ -77,34 +77,31 @@
 
 
 @pytest.mark.parametrize("late", [True, False])
-def test_guard_notes_what_was_sent_after_a_drain_counted_as_notified(
+async def test_guard_notes_what_was_sent_after_a_drain_counted_as_notified(
     late: bool, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Only the list that comes late shows that an attempt may have broken the promise."""
     if late:
         monkeypatch.setattr(list_freshness, "NOTIFIED_AFTER_US", 0)
 
-    async def test() -> None:
-        async with Sidecar(Rules={"DrainGraceUs": 0, "AskEveryUs": 10_000_000}) as sidecar:
-            (await sidecar.discovery.next_request()).reply(503, b"")
-            asking = await sidecar.discovery.next_request()
-            client = await sidecar.client()
-            client.send(request_id="r-7")
-            (await sidecar.endpoints[0].next_request()).reply(200)
-            await client.answer()
-            asking.reply(
-                200, endpoint_list(9, False, endpoint_row("s-0", sidecar.endpoints[0].address, "draining"))
-            )
-            await sidecar.discovery.next_request()
-            found = sidecar.proxy.invariants.possibly_broken
-            assert found == ({Invariant.SENT_UNNOTIFIED: 1} if late else {})
-            status = status_line(sidecar.proxy, 0, 0)
-            assert ("possibly_broken_sent_unnotified=1" in status) is late
-            assert "watch_events_rejected=1" in status
-            assert "watch_events_delta=1" in status
-            await asyncio.sleep(0)
-
-    run(test())
+    async with Sidecar(Rules={"DrainGraceUs": 0, "AskEveryUs": 10_000_000}) as sidecar:
+        (await sidecar.discovery.next_request()).reply(503, b"")
+        asking = await sidecar.discovery.next_request()
+        client = await sidecar.client()
+        client.send(request_id="r-7")
+        (await sidecar.endpoints[0].next_request()).reply(200)
+        await client.answer()
+        asking.reply(
+            200, endpoint_list(9, False, endpoint_row("s-0", sidecar.endpoints[0].address, "draining"))
+        )
+        await sidecar.discovery.next_request()
+        found = sidecar.proxy.invariants.possibly_broken
+        assert found == ({Invariant.SENT_UNNOTIFIED: 1} if late else {})
+        status = status_line(sidecar.proxy, 0, 0)
+        assert ("possibly_broken_sent_unnotified=1" in status) is late
+        assert "watch_events_rejected=1" in status
+        assert "watch_events_delta=1" in status
+        await asyncio.sleep(0)
     lines = [
         record.message for record in caplog.records if "event=invariant_possibly_broken" in record.message
     ]
--- a/tests/test_overloaded_discovery.py
+++ b/tests/test_overloaded_discovery.py
@@ -32,29 +32,26 @@
 from corkdoor.settings import LifecycleRules
 from emulator.crowded_discovery import Fleet, Scenario
 from tests.fake_server import endpoint_list, endpoint_row
-from tests.sidecar_support import Sidecar, run
+from tests.sidecar_support import Sidecar
 from tests.support import MS, RecordingHost, S, endpoints, settings
 
 WATCH_US = 3_500 * MS  # a watch is answered after so long
 NOTIFIED_AFTER_S = 6.0  # a change counts as notified so long after discovery had it and could be reached
 
 
-def test_instance_that_is_rejected_at_once_polls_several_times_in_time() -> None:
+@pytest.mark.time_limit_s(30.0)
+async def test_instance_that_is_rejected_at_once_polls_several_times_in_time() -> None:
     """Guards against a backoff that lets a drain go unnoticed for 8 s while the queue has room at times."""
-
-    async def test() -> None:
-        async with Sidecar() as sidecar:
-            for _ in range(4):
-                (await sidecar.discovery.next_request()).reply(503, b"")
-            began = time.monotonic()
-            for _ in range(3):
-                (await sidecar.discovery.next_request()).reply(503, b"")
-            drains = endpoint_row("s-0", sidecar.endpoints[0].address, "draining")
-            (await sidecar.discovery.next_request()).reply(200, endpoint_list(2, True, drains))
-            await sidecar.discovery.next_request()
-            assert time.monotonic() - began < NOTIFIED_AFTER_S
-
-    run(test(), 30.0)
+    async with Sidecar() as sidecar:
+        for _ in range(4):
+            (await sidecar.discovery.next_request()).reply(503, b"")
+        began = time.monotonic()
+        for _ in range(3):
+            (await sidecar.discovery.next_request()).reply(503, b"")
+        drains = endpoint_row("s-0", sidecar.endpoints[0].address, "draining")
+        (await sidecar.discovery.next_request()).reply(200, endpoint_list(2, True, drains))
+        await sidecar.discovery.next_request()
+        assert time.monotonic() - began < NOTIFIED_AFTER_S
 
 
 class OverloadedDiscovery:
