--- a/corkdoor/model.py
+++ b/corkdoor/model.py
@@ -50,11 +50,11 @@
     """What discovery, or a call to it, brought."""
 
     DELTA = "D"  # the endpoints that changed
-    FULL = "F"  # the whole endpoint list
+    FULL = "F"  # the complete endpoint list
     CACHED = "C"  # the list that the configuration file holds
     FAILED = "X"  # a call failed or the watch ended: discovery may be down
     REJECTED = "rejected"  # discovery answered that it has too many callers
-    LOST = "lost"  # an answer did not arrive whole; the changes it held count as notified
+    LOST = "lost"  # an answer did not arrive in full; the changes it held count as notified
 
 
 class DiscoveryMode(Enum):
--- a/corkdoor/simulator/parser.py
+++ b/corkdoor/simulator/parser.py
@@ -166,7 +166,7 @@
     return messages.InstanceStarted(instance, seed_number, settings)
 
 
-class MessageForm(NamedTuple):
+class MessageFormat(NamedTuple):
     """How one message is written.
 
     Attributes:
@@ -178,17 +178,17 @@
     parse: Callable[[list[str]], messages.Message]
 
 
-MESSAGE_FORMS = {
-    "order": MessageForm(8, _parse_request),
-    "reply": MessageForm(8, _parse_attempt_ended),
-    "wake": MessageForm(2, _parse_timer_expired),
-    "expired": MessageForm(2, _parse_request_cancelled),
-    "discovery": MessageForm(4, _parse_watch_event),
-    "manifest": MessageForm(2, _parse_endpoint_page),
-    "streaming": MessageForm(5, _parse_response_started),
-    "sampled": MessageForm(5, _parse_health_checked),
-    "mail": MessageForm(3, _parse_peer_message),
-    "stop": MessageForm(1, _parse_instance_stopped),
+MESSAGE_FORMATS = {
+    "order": MessageFormat(8, _parse_request),
+    "reply": MessageFormat(8, _parse_attempt_ended),
+    "wake": MessageFormat(2, _parse_timer_expired),
+    "expired": MessageFormat(2, _parse_request_cancelled),
+    "discovery": MessageFormat(4, _parse_watch_event),
+    "manifest": MessageFormat(2, _parse_endpoint_page),
+    "streaming": MessageFormat(5, _parse_response_started),
+    "sampled": MessageFormat(5, _parse_health_checked),
+    "mail": MessageFormat(3, _parse_peer_message),
+    "stop": MessageFormat(1, _parse_instance_stopped),
 }
 
 
@@ -213,13 +213,13 @@
     name = parts[0]
     if name == INSTANCE_START:
         return _parse_instance_started(line)
-    form = MESSAGE_FORMS.get(name)
-    if form is None:
+    message_format = MESSAGE_FORMATS.get(name)
+    if message_format is None:
         raise ProtocolError(f"unknown message {quote(name)}")
     value_count = len(parts) - 1
-    if value_count != form.value_count:
-        raise ProtocolError(f"{name} takes {form.value_count} values, {value_count} came")
-    return form.parse(parts)
+    if value_count != message_format.value_count:
+        raise ProtocolError(f"{name} takes {message_format.value_count} values, {value_count} came")
+    return message_format.parse(parts)
 
 
 def parse_endpoint(line: str) -> Endpoint:
--- a/tests/test_discovery_polling.py
+++ b/tests/test_discovery_polling.py
@@ -47,7 +47,7 @@
         ((due, _),) = host.timers
         assert due - host.now_us <= grace_us / 2
         host.advance(due - host.now_us)
-    for _ in range(5):  # a rejection after a wait tells of too many callers: that is no reason to hurry
+    for _ in range(5):  # a rejection after a wait shows too many instances: no reason to poll sooner
         host.now_us += 2 * S
         call_began = host.now_us - 2 * S
         host.balancer.on_watch_event(host.now_us, WatchEventKind.REJECTED, [])
@@ -57,7 +57,7 @@
     host.balancer.on_watch_event(host.now_us, WatchEventKind.DELTA, [])
     answered = host.now_us
     waits = []
-    while host.now_us < answered + 7 * S:  # one that comes at once tells of a short queue
+    while host.now_us < answered + 7 * S:  # one that comes at once shows a full queue
         host.balancer.on_watch_event(host.now_us, WatchEventKind.REJECTED, [])
         ((due, _),) = host.timers
         waits.append(due - host.now_us)
