--- a/faults/clients.py
+++ b/faults/clients.py
@@ -1,56 +1,61 @@
-"""Clients of the soak: good ones, and those that leave, stop, write slowly or send many requests at once."""
+"""Clients of the soak: good ones, and those that close, stall, write slowly or send many requests at once."""
 
 from __future__ import annotations
 
 import asyncio
-import contextlib
 import random
 from enum import Enum
 
-from faults.http import Message, read_message, reset
-from faults.oracle import BAD_CLIENT_S, Effect, Oracle, Promise, Record
+from faults.oracle import STALLED_CLIENT_S, Idempotency, Oracle, Promise, RequestRecord
 from faults.plan import Plan
-
-GIVE_UP_S = 1.5  # after the deadline: then no answer is coming any more
-RESTS_S = (0.0, 0.02, 0.3)
-CROWD_AT_ONCE = 40  # connections of a crowd
-CROWD_STEP_S = 0.05
-CROWD_GONE_S = 0.5  # after which the sidecar has room again
-
-
-class Kind(Enum):
+from faults.targets import SidecarTarget
+from testbed.http_messages import Message, read_message, reset
+
+GIVE_UP_S = 1.5  # after the deadline: then no response is coming any more
+PAUSES_S = (0.0, 0.02, 0.3)
+PAUSE_JITTER_S = 0.1
+CONNECT_S = 2.0
+NO_TARGET_S = 0.05  # the pause where no sidecar accepts clients
+PIPELINED_REQUESTS = (2, 9)  # from the first, below the second
+SLOW_PIECE_BYTES = 20
+SLOW_PIECE_S = 0.005
+CLOSE_WITHIN_S = 0.2
+RESET_SHARE = 0.5  # of the clients that close
+BODY_SIZES = (0, 10, 2000)  # bytes
+
+
+class ClientBehaviour(Enum):
     """How a client behaves with its next request."""
 
     GOOD = "good"
-    LEAVES = "leaves"
-    AT_ONCE = "many at once"
+    CLOSES = "closes before the response"
+    PIPELINES = "sends several requests at once"
     SLOW = "writes slowly"
-    STOPS = "stops within a request"
-
-
-KINDS = (Kind.GOOD,) * 14 + (Kind.LEAVES, Kind.LEAVES, Kind.AT_ONCE, Kind.SLOW, Kind.STOPS)
-
-
-class Target:
-    """A sidecar as the front sees it."""
+    STALLS = "stops within a request"
 
-    def __init__(self, name: str, port: int) -> None:
-        self.name = name
-        self.port = port
-        self.open = False  # whether clients are sent there
-        self.crowded = False  # whether idle clients fill its descriptors: new connections may be shut unread
-        self.killed_s: list[float] = []  # when its process was killed outright, or at the end of a drain
 
-    def excuses(self, since_s: float) -> bool:
-        """Whether a process died since, so that no answer can be owed."""
-        return any(killed_s >= since_s for killed_s in self.killed_s)
+BEHAVIOURS = (ClientBehaviour.GOOD,) * 14 + (
+    ClientBehaviour.CLOSES,
+    ClientBehaviour.CLOSES,
+    ClientBehaviour.PIPELINES,
+    ClientBehaviour.SLOW,
+    ClientBehaviour.STALLS,
+)
 
 
 class SoakClient:
-    """Keeps one connection where it can, and asks again and again."""
+    """Keeps one connection where it can, and sends one request after another.
+
+    Args:
+        number: its number among the clients.
+        targets: the sidecars that it may connect to.
+        oracle: which judges its requests.
+        rng: its own random numbers.
+        plan: of the soak, for the deadlines.
+    """
 
     def __init__(
-        self, number: int, targets: list[Target], oracle: Oracle, rng: random.Random, plan: Plan
+        self, number: int, targets: list[SidecarTarget], oracle: Oracle, rng: random.Random, plan: Plan
     ) -> None:
         self.number = number
         self.plan = plan
@@ -60,35 +65,37 @@
         self.serial = 0
         self.reader: asyncio.StreamReader | None = None
         self.writer: asyncio.StreamWriter | None = None
-        self.target: Target | None = None
-        self.rested = False  # whether the connection has served a request before
+        self.target: SidecarTarget | None = None
+        self.reused = False  # whether the connection has served a request before
 
     async def run(self, until_s: float) -> None:
-        """Ask until that time of the loop."""
+        """Send requests until that loop time in seconds."""
         loop = asyncio.get_running_loop()
         while loop.time() < until_s:
-            await asyncio.sleep(self.rng.choice(RESTS_S) + self.rng.random() * 0.1)
+            await asyncio.sleep(self.rng.choice(PAUSES_S) + self.rng.random() * PAUSE_JITTER_S)
             if self.writer is None and not await self._connect():
                 continue
-            kind = self.rng.choice(KINDS)
-            if kind is Kind.STOPS:
-                await self._stop_half_way()
+            behaviour = self.rng.choice(BEHAVIOURS)
+            if behaviour is ClientBehaviour.STALLS:
+                await self._stall()
             else:
-                await self._ask(kind)
+                await self._request(behaviour)
         self._close()
 
+    # --- the connection ---
+
     async def _connect(self) -> bool:
-        opens = [target for target in self.targets if target.open]
-        if not opens:
-            await asyncio.sleep(0.05)
+        open_targets = [target for target in self.targets if target.accepts_clients]
+        if not open_targets:
+            await asyncio.sleep(NO_TARGET_S)
             return False
-        self.target = self.rng.choice(opens)
+        self.target = self.rng.choice(open_targets)
         try:
-            async with asyncio.timeout(2):
+            async with asyncio.timeout(CONNECT_S):
                 self.reader, self.writer = await asyncio.open_connection("127.0.0.1", self.target.port)
         except (OSError, TimeoutError):
             return False
-        self.rested = False
+        self.reused = False
         return True
 
     def _close(self) -> None:
@@ -96,74 +103,83 @@
             self.writer.close()
         self.reader = self.writer = None
 
-    def _new(self) -> tuple[Record, bytes]:
+    # --- requests ---
+
+    def _new_request(self) -> tuple[RequestRecord, bytes]:
+        """Draw a request; return its record and its bytes."""
         assert self.target is not None
         self.serial += 1
-        effect = self.rng.choice(list(Effect))
+        idempotency = self.rng.choice(list(Idempotency))
         deadline_s = self.rng.choice(self.plan.deadlines_s)
         request_id = f"{self.number:04x}{self.serial:06x}"
-        body = b"" if effect is Effect.SAFE else b"b" * self.rng.choice((0, 10, 2000))
-        method = "GET" if effect is Effect.SAFE else "POST"
+        reads = idempotency is Idempotency.IDEMPOTENT
+        body = b"" if reads else b"b" * self.rng.choice(BODY_SIZES)
         space = self.rng.choice(("", " ", "  "))
         lines = [
-            f"{method} /{effect.value}/x HTTP/1.1",
+            f"{'GET' if reads else 'POST'} /{idempotency.value}/x HTTP/1.1",
             "Host: service",
             f"Req-Id:{space}{request_id}{space}",
             f"Req-Owner: acme{space}",
             f"Req-Deadline-Ms: {int(deadline_s * 1000)}{space}",
         ]
-        if effect is Effect.KEYED:
+        if idempotency is Idempotency.KEYED:
             lines.append(f"Idempotency-Key: k{request_id}")
-        if effect is not Effect.SAFE:
+        if not reads:
             lines.append(f"Content-Length: {len(body)}")
         now_s = asyncio.get_running_loop().time()
-        record = Record(request_id, effect, now_s, deadline_s, self.target.name)
+        record = RequestRecord(request_id, idempotency, now_s, deadline_s, self.target.name)
         return record, "\r\n".join([*lines, "", ""]).encode() + body
 
-    async def _ask(self, kind: Kind) -> None:
-        count = self.rng.randrange(2, 9) if kind is Kind.AT_ONCE else 1
-        made = [self._new() for _ in range(count)]
-        for record, _ in made:
+    async def _request(self, behaviour: ClientBehaviour) -> None:
+        pipelines = behaviour is ClientBehaviour.PIPELINES
+        count = self.rng.randrange(*PIPELINED_REQUESTS) if pipelines else 1
+        drawn = [self._new_request() for _ in range(count)]
+        records = [record for record, _ in drawn]
+        for record in records:
             self.oracle.sent(record)
-        data = b"".join(data for _, data in made)
-        records = [record for record, _ in made]
         try:
-            await self._send(data, kind, records)
-            for place, record in enumerate(records):  # answers come in the order of requests
-                record.due_s = max(r.sent_s + r.deadline_s for r in records[: place + 1])
-            if kind is Kind.LEAVES:
-                await self._leave(records[0])
-                return
-            for record in records:
-                if not await self._take_answer(record):
-                    self._give_up(records[records.index(record) + 1 :])
-                    return
-        except (OSError, RuntimeError):  # the latter: uvloop's word for a transport that has closed
-            self._give_up([record for record in records if record.answered_s is None])
+            await self._send(b"".join(data for _, data in drawn), behaviour, records)
+            for index, record in enumerate(records):  # responses come in the order of requests
+                record.due_s = max(r.sent_s + r.deadline_s for r in records[: index + 1])
+            if behaviour is ClientBehaviour.CLOSES:
+                await self._close_early(records[0])
+            else:
+                await self._read_responses(records)
+        except (OSError, RuntimeError):  # uvloop raises the latter on a transport that has closed
+            self._give_up([record for record in records if record.ended_s is None])
 
-    async def _send(self, data: bytes, kind: Kind, records: list[Record]) -> None:
+    async def _send(self, data: bytes, behaviour: ClientBehaviour, records: list[RequestRecord]) -> None:
         """Write; a request's time is counted from its last byte."""
         assert self.writer is not None
         loop = asyncio.get_running_loop()
-        step = 20 if kind is Kind.SLOW else len(data)
-        for place in range(0, len(data), step):
+        slow = behaviour is ClientBehaviour.SLOW
+        step = SLOW_PIECE_BYTES if slow else len(data)
+        for offset in range(0, len(data), step):
             for record in records:
                 record.sent_s = loop.time()
-            self.writer.write(data[place : place + step])
-            if kind is Kind.SLOW:
-                await asyncio.sleep(0.005)
+            self.writer.write(data[offset : offset + step])
+            if slow:
+                await asyncio.sleep(SLOW_PIECE_S)
         await self.writer.drain()
 
-    async def _leave(self, record: Record) -> None:
+    async def _close_early(self, record: RequestRecord) -> None:
         assert self.writer is not None
-        await asyncio.sleep(self.rng.random() * min(0.2, record.deadline_s))
-        record.left_s = asyncio.get_running_loop().time()
-        if self.rng.random() < 0.5:
+        await asyncio.sleep(self.rng.random() * min(CLOSE_WITHIN_S, record.deadline_s))
+        record.closed_s = asyncio.get_running_loop().time()
+        if self.rng.random() < RESET_SHARE:
             reset(self.writer)
         self._close()
 
-    async def _take_answer(self, record: Record) -> bool:
-        """Wait for the answer; whether the connection goes on."""
+    # --- responses ---
+
+    async def _read_responses(self, records: list[RequestRecord]) -> None:
+        for index, record in enumerate(records):
+            if not await self._read_response(record):
+                self._give_up(records[index + 1 :])
+                return
+
+    async def _read_response(self, record: RequestRecord) -> bool:
+        """Wait for the response; return whether the connection stays."""
         assert self.reader is not None
         loop = asyncio.get_running_loop()
         try:
@@ -172,80 +188,65 @@
         except (asyncio.IncompleteReadError, OSError, TimeoutError) as error:
             self._judge_missing(record, error)
             return False
-        self.oracle.judge(record, int(message.first.split(" ")[1]), message.body, loop.time())
-        self.rested = True
-        if self._ends(message):
+        self.oracle.judge(record, int(message.first_line.split(" ")[1]), message.body, loop.time())
+        self.reused = True
+        if _closes(message):
             self._close()
             return False
         return True
 
-    def _ends(self, message: Message) -> bool:
-        return message.headers.get("connection", "").lower() == "close"
-
-    def _judge_missing(self, record: Record, error: Exception) -> None:
-        """No whole answer came: a resting connection may have ended just then, or a process died."""
+    def _judge_missing(self, record: RequestRecord, error: Exception) -> None:
+        """No complete response came: an idle connection may have ended just then, or a process died."""
         assert self.target is not None
-        unread = isinstance(error, asyncio.IncompleteReadError | OSError) and not isinstance(
-            error, TimeoutError
-        )
-        began = isinstance(error, asyncio.IncompleteReadError) and bool(error.partial)
-        crossed = unread and not began and self.rested and not record.runs
-        shut_unread = unread and not began and self.target.crowded and not record.runs
-        record.excused = crossed or shut_unread or self.target.excuses(record.sent_s)
-        self.oracle.counts["shut unread in a crowd"] += shut_unread and not crossed
-        self.oracle.counts["crossed an end"] += crossed
+        connection_ended = not isinstance(error, TimeoutError)
+        partial = isinstance(error, asyncio.IncompleteReadError) and bool(error.partial)
+        untouched = connection_ended and not partial and not record.executions
+        crossed = untouched and self.reused
+        closed_unread = untouched and self.target.descriptors_exhausted
+        record.excused = crossed or closed_unread or self.target.killed_since(record.sent_s)
+        self.oracle.counts["closed unread with descriptors exhausted"] += closed_unread and not crossed
+        self.oracle.counts["crossed a connection's end"] += crossed
         self.oracle.judge(record, None, b"", asyncio.get_running_loop().time())
         self._close()
 
-    def _give_up(self, records: list[Record]) -> None:
+    def _give_up(self, records: list[RequestRecord]) -> None:
         """The connection ended in front of these: they may be sent again elsewhere."""
         now_s = asyncio.get_running_loop().time()
         for record in records:
             record.excused = True
-            if record.runs:
-                record.excused = self.target is not None and self.target.excuses(record.sent_s)
+            if record.executions:
+                record.excused = self.target is not None and self.target.killed_since(record.sent_s)
             self.oracle.judge(record, None, b"", now_s)
         self._close()
 
-    async def _stop_half_way(self) -> None:
+    # --- stalls ---
+
+    async def _stall(self) -> None:
         """Send a part of a request and stay."""
-        assert self.writer is not None and self.reader is not None and self.target is not None
+        assert self.writer is not None
+        assert self.reader is not None
+        assert self.target is not None
         loop = asyncio.get_running_loop()
-        _, data = self._new()
-        begun_s = loop.time()
+        _, data = self._new_request()
+        started_s = loop.time()
         target = self.target
         try:
             self.writer.write(data[: self.rng.randrange(1, len(data) - 1)])
-            async with asyncio.timeout(BAD_CLIENT_S + 0.5):
+            async with asyncio.timeout(STALLED_CLIENT_S + 0.5):
                 await self.reader.read()
         except TimeoutError:
-            if not target.excuses(begun_s) and loop.time() - begun_s > BAD_CLIENT_S + self.oracle.lag_s():
-                self.oracle.violate(Promise.BAD_CLIENT, f"client {self.number} at {target.name}", loop.time())
+            self._judge_stalled(target, started_s)
         except (OSError, RuntimeError):
             pass  # closed: that is what it is owed
-        self.oracle.counts["stopped half way"] += 1
+        self.oracle.counts["stopped within a request"] += 1
         self._close()
 
+    def _judge_stalled(self, target: SidecarTarget, started_s: float) -> None:
+        now_s = asyncio.get_running_loop().time()
+        if target.killed_since(started_s) or now_s - started_s <= STALLED_CLIENT_S + self.oracle.lag_s():
+            return
+        self.oracle.violate(Promise.STALLED_CLIENT, f"client {self.number} at {target.name}", now_s)
 
-class IdleCrowd:
-    """Idle clients that connect to one sidecar and ask nothing, more than it has descriptors for."""
-
-    def __init__(self, target: Target, count: int) -> None:
-        self.target = target
-        self.count = count
 
-    async def play(self, until_s: float) -> None:
-        """Stay until then; those that are closed come again."""
-        loop = asyncio.get_running_loop()
-        self.target.crowded = True
-        writers: list[asyncio.StreamWriter] = []
-        while loop.time() < until_s:
-            writers = [writer for writer in writers if not writer.is_closing()]
-            for _ in range(min(CROWD_AT_ONCE, self.count - len(writers))):
-                with contextlib.suppress(OSError):
-                    writers.append((await asyncio.open_connection("127.0.0.1", self.target.port))[1])
-            await asyncio.sleep(CROWD_STEP_S)
-        for writer in writers:
-            writer.close()
-        await asyncio.sleep(CROWD_GONE_S)
-        self.target.crowded = False
+def _closes(message: Message) -> bool:
+    return message.headers.get("connection", "").lower() == "close"
--- a/faults/discovery.py
+++ b/faults/discovery.py
@@ -1,4 +1,4 @@
-"""A discovery that works through calls one after another, and fails in many ways."""
+"""A discovery that works through polls one after another, and fails in many ways."""
 
 from __future__ import annotations
 
@@ -9,70 +9,71 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from faults.http import read_message, reset
 from faults.notifications import Change, Notifications
+from faults.plan import DiscoveryProfile
+from testbed.discovery_wire import Poll, Row, endpoint_list, parse_poll
+from testbed.http_messages import encode_response, read_message, reset
 
 ADDRESSES = 3  # that lead to the same lists; a reload may name another one
-WHOLE = -1  # in place of a generation: the whole list is asked for
-LEFT_EVERY_S = 0.02  # how often it is looked whether a sidecar that waits has hung up
-SHORT_S = 0.005  # between two pieces of an answer
-PIECES = 4  # that an answer is written in, where it is not written in one go
-REFUSAL = b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n"
-Row = dict[str, object]
+DISCONNECT_CHECK_S = 0.02  # how often it is checked whether a sidecar that waits has hung up
+PIECE_INTERVAL_S = 0.005  # between two pieces of a response
+PIECES = 4  # that a response is written in, where it is not written in one go
+SILENCE_S = 60.0  # longer than any sidecar waits for a response
+REJECTION = encode_response(503, "X", b"")
 
 
-class Mode(Enum):
-    """What discovery does with calls."""
+class DiscoveryMode(Enum):
+    """What discovery does with polls."""
 
     SERVE = "serve"
-    REFUSE = "refuse"
+    REJECT = "reject"
     RESET = "reset"
     SILENT = "silent"
 
 
-@dataclass(frozen=True, slots=True)
-class Shape:
-    """How discovery serves."""
+class Loss(Enum):
+    """How a response is lost, in the order of the draw."""
 
-    cost_s: float = 0.0  # of each call and of each answer to a watch, one after another
-    refusal_share: float = 0.05  # of that cost, that turning a call away costs
-    room: int = 1_000  # calls that may wait for their turn; more are refused at once
-    lost_share: float = 0.0  # of answers: kept back, cut or broken off
-    pieces: bool = False  # answers are written in small pieces
-    whole_share: float = 0.0  # of answers that could be changes alone, those that are the whole list
-    omits_draining: bool = False  # whole lists leave out what drains
+    WITHHELD = 0
+    TRUNCATED = 1
+    BROKEN_OFF = 2
 
 
 @dataclass(frozen=True, slots=True)
-class Call:
-    """A call as it came."""
+class ReceivedPoll:
+    """A poll as it came, at a loop time."""
 
     sidecar: str
-    after: int
-    wait_s: float
-    asked_s: float
+    poll: Poll
+    received_s: float
 
 
 class FaultyDiscovery:
-    """Tells the list, and changes to watches; notes what it wrote to whom."""
+    """Serves one endpoint list, and its changes to watches; notes what it wrote to which sidecar.
+
+    Args:
+        notifications: where changes and responses are noted for the oracle.
+        profile: what polls cost, and how often responses are lost.
+        rng: its own random numbers.
+    """
 
-    def __init__(self, notifications: Notifications, shape: Shape, rng: random.Random) -> None:
+    def __init__(self, notifications: Notifications, profile: DiscoveryProfile, rng: random.Random) -> None:
         self.notifications = notifications
-        self.shape = shape
+        self.profile = profile
         self.rng = rng
         self.rows: dict[str, Row] = {}
-        self.versions: dict[str, int] = {}
+        self.versions: dict[str, int] = {}  # the generation that last changed each row
         self.generation = 1
-        self.mode = Mode.SERVE
-        self.calls = 0
-        self.refused = 0
+        self.mode = DiscoveryMode.SERVE
+        self.polls = 0
+        self.rejected = 0
         self._changed = asyncio.Event()
         self._writers: dict[asyncio.StreamWriter, None] = {}
-        self._free_s = 0.0  # when all work that was taken is done
-        self._taken = 0  # calls that wait for their turn or have it
+        self._idle_at_s = 0.0  # loop time at which all accepted work is done
+        self._accepted = 0  # polls that wait for their turn or have it
 
     async def listen(self, sidecar: str) -> list[int]:
-        """Listen for one sidecar; returns the ports of its addresses."""
+        """Listen for one sidecar and return the ports of its addresses."""
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await self._serve(sidecar, reader, writer)
@@ -82,137 +83,149 @@
 
     # --- the list ---
 
-    def listing(self, after: int = WHOLE) -> dict[str, object]:
-        """What changed after a generation; the whole list by default."""
-        whole = after == WHOLE
-        unlisted = {"gone", "draining"} if self.shape.omits_draining else {"gone"}
-        rows = [row for name, row in self.rows.items() if self.versions[name] > after]
-        rows = [row for row in rows if not whole or row["lifecycle"] not in unlisted]
-        return {"generation": self.generation, "reset": whole, "instances": rows}
+    def endpoint_list(self) -> dict[str, object]:
+        """Return the full list as a document."""
+        return endpoint_list(self.generation, True, self._rows_after(None))
+
+    def _rows_after(self, after: int | None) -> list[Row]:
+        """Return the rows that changed after a generation, or those of the full list."""
+        if after is not None:
+            return [row for name, row in self.rows.items() if self.versions[name] > after]
+        left_out = {"gone", "draining"} if self.profile.omits_draining else {"gone"}
+        return [row for row in self.rows.values() if row["lifecycle"] not in left_out]
 
     def change(self, row: Row) -> None:
-        """Put an entry in, or change it; watches are told."""
+        """Put an entry in, or change it; watches are notified."""
         self.generation += 1
         name = str(row["instanceId"])
         self.rows[name] = row
         self.versions[name] = self.generation
         now_s = asyncio.get_running_loop().time()
         self.notifications.change(Change(self.generation, name, row["lifecycle"] == "ready", now_s))
-        self._wake()
-
-    def _wake(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
 
-    # --- troubles ---
+    # --- faults ---
 
-    def turn(self, mode: Mode) -> None:
-        """Change what calls meet; open watches end, but for those that fall silent.
+    def set_mode(self, mode: DiscoveryMode) -> None:
+        """Change what polls meet; open watches end, but for those that fall silent.
 
         Those end at the return: a silent one may last as long as its wait, and what it misses counts later.
         """
-        was_silent, self.mode = self.mode is Mode.SILENT, mode
-        if mode in (Mode.REFUSE, Mode.RESET) or was_silent:
-            self.end_watches()
+        was_silent, self.mode = self.mode is DiscoveryMode.SILENT, mode
+        if mode in (DiscoveryMode.REJECT, DiscoveryMode.RESET) or was_silent:
+            self.reset_watches()
 
-    def end_watches(self) -> None:
-        """Reset all connections: whoever watches has to ask anew."""
+    def reset_watches(self) -> None:
+        """Reset all connections: whoever watches has to poll anew."""
         for writer in list(self._writers):
             reset(writer)
 
-    # --- calls ---
+    # --- polls ---
 
     async def _serve(self, sidecar: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._writers[writer] = None
         try:
-            while True:
-                message = await read_message(reader)
-                call = self._read(sidecar, message.first.split(" ")[1])
-                work = asyncio.ensure_future(self._answer(call, writer))
-                while not work.done() and not reader.at_eof() and reader.exception() is None:
-                    await asyncio.wait((work,), timeout=LEFT_EVERY_S)
-                if not work.done():
-                    work.cancel()
-                    return
-                if not work.result():
-                    return
+            while await self._serve_one(sidecar, reader, writer):
+                pass
         except (asyncio.IncompleteReadError, OSError, RuntimeError):
             pass
         finally:
             self._writers.pop(writer, None)
             writer.close()
 
-    def _read(self, sidecar: str, path: str) -> Call:
-        query = dict(pair.split("=") for pair in path.partition("?")[2].split("&") if pair)
-        wait_s = int(query.get("wait_ms", "0")) / 1000
-        return Call(sidecar, int(query.get("after", WHOLE)), wait_s, asyncio.get_running_loop().time())
-
-    async def _answer(self, call: Call, writer: asyncio.StreamWriter) -> bool:
-        """Answer one call; whether the connection stays."""
-        self.calls += 1
-        if self.mode is Mode.SILENT:
-            await asyncio.sleep(60)
-        if self.mode is Mode.RESET:
+    async def _serve_one(
+        self, sidecar: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> bool:
+        """Read and answer one poll; return whether the connection stays."""
+        message = await read_message(reader)
+        poll = parse_poll(message.first_line.split(" ")[1])
+        if poll is None:
+            return False
+        received = ReceivedPoll(sidecar, poll, asyncio.get_running_loop().time())
+        response = asyncio.ensure_future(self._respond(received, writer))
+        while not response.done() and not reader.at_eof() and reader.exception() is None:
+            await asyncio.wait((response,), timeout=DISCONNECT_CHECK_S)
+        if not response.done():
+            response.cancel()
+            return False
+        return response.result()
+
+    async def _respond(self, received: ReceivedPoll, writer: asyncio.StreamWriter) -> bool:
+        """Answer one poll; return whether the connection stays."""
+        self.polls += 1
+        if self.mode is DiscoveryMode.SILENT:
+            await asyncio.sleep(SILENCE_S)
+        if self.mode is DiscoveryMode.RESET:
             reset(writer)
             return False
-        if self.mode is Mode.REFUSE or self._taken > self.shape.room:
-            self.refused += 1
-            self._free_s += self.shape.refusal_share * self.shape.cost_s
-            writer.write(REFUSAL)
+        if self.mode is DiscoveryMode.REJECT or self._accepted > self.profile.capacity:
+            self.rejected += 1
+            self._idle_at_s += self.profile.rejection_cost_share * self.profile.cost_s
+            writer.write(REJECTION)
             return True
         await self._take_turn()
-        if call.after != WHOLE and call.after >= self.generation:
-            with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self._changed.wait(), call.wait_s)
-            if self.mode is Mode.SILENT:
-                await asyncio.sleep(60)
+        after = received.poll.after
+        if after is not None and after >= self.generation:
+            await self._await_change(received.poll.wait_s)
             await self._take_turn()
-        return await self._write(call, writer)
+        return await self._write_list(received, writer)
+
+    async def _await_change(self, wait_s: float) -> None:
+        with contextlib.suppress(TimeoutError):
+            await asyncio.wait_for(self._changed.wait(), wait_s)
+        if self.mode is DiscoveryMode.SILENT:
+            await asyncio.sleep(SILENCE_S)
 
     async def _take_turn(self) -> None:
         """Wait until all that came before is done, and this as well."""
-        if not self.shape.cost_s:
+        if not self.profile.cost_s:
             return
         loop = asyncio.get_running_loop()
         now_s = loop.time()
-        done_s = self._free_s = max(now_s, self._free_s) + self.shape.cost_s
-        self._taken += 1
-        loop.call_at(done_s, self._done)  # also where the sidecar hangs up: it is served for nobody
+        done_s = self._idle_at_s = max(now_s, self._idle_at_s) + self.profile.cost_s
+        self._accepted += 1
+        loop.call_at(done_s, self._finish_turn)  # also where the sidecar has hung up meanwhile
         await asyncio.sleep(done_s - now_s)
 
-    def _done(self) -> None:
-        self._taken -= 1
+    def _finish_turn(self) -> None:
+        self._accepted -= 1
+
+    # --- responses ---
 
-    async def _write(self, call: Call, writer: asyncio.StreamWriter) -> bool:
-        whole = call.after == WHOLE or self.rng.random() < self.shape.whole_share
+    async def _write_list(self, received: ReceivedPoll, writer: asyncio.StreamWriter) -> bool:
+        after = received.poll.after
+        full = after is None or self.rng.random() < self.profile.full_list_share
         generation = self.generation
-        body = json.dumps(self.listing(WHOLE if whole else call.after)).encode()
-        data = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
-        if self.rng.random() < self.shape.lost_share:
-            self._note_lost(call)
+        rows = self._rows_after(None if full else after)
+        body = json.dumps(endpoint_list(generation, full, rows)).encode()
+        data = encode_response(200, "OK", body)
+        if self.rng.random() < self.profile.lost_share:
+            self._note_lost(received)
             return await self._lose(data, writer)
-        step = max(1, len(data) // PIECES) if self.shape.pieces else len(data)
-        for place in range(0, len(data), step):
-            if place:
-                await asyncio.sleep(SHORT_S)
+        step = max(1, len(data) // PIECES) if self.profile.in_pieces else len(data)
+        for offset in range(0, len(data), step):
+            if offset:
+                await asyncio.sleep(PIECE_INTERVAL_S)
             if writer.is_closing():  # an outage came in between
-                self._note_lost(call)
+                self._note_lost(received)
                 return False
-            writer.write(data[place : place + step])
-        self.notifications.wrote(call.sidecar, generation, asyncio.get_running_loop().time())
+            writer.write(data[offset : offset + step])
+        self.notifications.wrote(received.sidecar, generation, asyncio.get_running_loop().time())
         return True
 
-    def _note_lost(self, call: Call) -> None:
-        if call.after != WHOLE:
-            self.notifications.lost_answer(call.sidecar, call.asked_s, call.asked_s + call.wait_s)
+    def _note_lost(self, received: ReceivedPoll) -> None:
+        if received.poll.after is not None:
+            watch_end_s = received.received_s + received.poll.wait_s
+            self.notifications.lost_response(received.sidecar, received.received_s, watch_end_s)
 
     async def _lose(self, data: bytes, writer: asyncio.StreamWriter) -> bool:
-        """The answer does not come, or not whole: kept back, stopped half way, or broken off."""
-        way = self.rng.randrange(3)
-        if way > 0:
+        """Lose a response in a drawn way; the connection does not stay."""
+        loss = Loss(self.rng.randrange(len(Loss)))
+        if loss is not Loss.WITHHELD:
             writer.write(data[: len(data) // 2])
-        if way < 2:
-            await asyncio.sleep(60)  # until the sidecar gives it up
-        await asyncio.sleep(SHORT_S)
+        if loss is not Loss.BROKEN_OFF:
+            await asyncio.sleep(SILENCE_S)  # until the sidecar gives it up
+        await asyncio.sleep(PIECE_INTERVAL_S)
         reset(writer)
         return False
--- a/faults/endpoints.py
+++ b/faults/endpoints.py
@@ -7,8 +7,15 @@
 import random
 from enum import Enum
 
-from faults.http import read_message, reset
-from faults.oracle import Oracle, Run
+from faults.oracle import Execution, Oracle
+from testbed.http_messages import Message, read_message, reset
+
+BODY_SIZES = (0, 40, 3000, 20_000)  # bytes, behind the request's id
+MEAN_SERVICE_S = 0.02
+TWO_WRITES_SHARE = 0.3  # of responses, written in two parts
+BETWEEN_WRITES_S = 0.01
+READ_BYTES = 16_384
+BREAK_WITHIN_BYTES = 4000  # a connection that breaks does so within its first bytes
 
 
 class Behaviour(Enum):
@@ -19,30 +26,42 @@
     ERROR = "error"
     HANG = "hang"
     RESET = "reset"
-    CUT = "cut"  # half an answer, then a reset
-    STOP = "stop"  # half an answer, then silence
-    NOISE = "noise"
+    TRUNCATE = "truncate"  # half a response, then a reset
+    STALL = "stall"  # half a response, then silence
+    GARBAGE = "garbage"
 
 
-TROUBLE = (
+FAULT_SHARES = (
     (Behaviour.DECLINE, 0.06),
     (Behaviour.ERROR, 0.04),
     (Behaviour.HANG, 0.02),
     (Behaviour.RESET, 0.03),
-    (Behaviour.CUT, 0.03),
-    (Behaviour.STOP, 0.02),
-    (Behaviour.NOISE, 0.02),
+    (Behaviour.TRUNCATE, 0.03),
+    (Behaviour.STALL, 0.02),
+    (Behaviour.GARBAGE, 0.02),
 )
+SIMPLE_RESPONSES = {
+    Behaviour.DECLINE: b"HTTP/1.1 503 X\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n",
+    Behaviour.ERROR: b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n",
+    Behaviour.GARBAGE: b"\x00noise\r\n\r\n",
+}
 
 
 class FaultyEndpoint:
-    """Serves attempts in all forms that the protocol allows, or fails at them."""
+    """Serves attempts in all forms that the protocol allows, or fails at them.
+
+    Args:
+        name: its id.
+        oracle: which attempts and responses are noted for.
+        rng: its own random numbers.
+        fault_scale: times the shares of FAULT_SHARES.
+    """
 
-    def __init__(self, name: str, oracle: Oracle, rng: random.Random) -> None:
+    def __init__(self, name: str, oracle: Oracle, rng: random.Random, fault_scale: float) -> None:
         self.name = name
         self.oracle = oracle
         self.rng = rng
-        self.trouble = 1.0  # times the shares of TROUBLE
+        self.fault_scale = fault_scale
 
     async def start(self) -> FaultyEndpoint:
         """Listen on a free port of loopback."""
@@ -50,66 +69,64 @@
         self.port = int(self.server.sockets[0].getsockname()[1])
         return self
 
-    def _draw(self) -> Behaviour:
+    def _draw_behaviour(self) -> Behaviour:
         drawn = self.rng.random()
-        for behaviour, share in TROUBLE:
-            drawn -= share * self.trouble
+        for behaviour, share in FAULT_SHARES:
+            drawn -= share * self.fault_scale
             if drawn < 0:
                 return behaviour
         return Behaviour.SERVE
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        run: Run | None = None
+        execution: Execution | None = None
         loop = asyncio.get_running_loop()
         try:
             while True:
                 message = await read_message(reader)
-                behaviour = self._draw()
-                told_ms = int(message.headers.get("req-deadline-ms", "0"))
+                behaviour = self._draw_behaviour()
+                execution = self._note_attempt(message, behaviour)
                 request_id = message.headers.get("req-id", "")
-                runs = behaviour is not Behaviour.DECLINE
-                run = self.oracle.attempt(request_id, self.name, told_ms, loop.time(), runs)
-                keep = await self._answer(behaviour, request_id, writer, reader)
-                if run is not None:
-                    run.ended_s = loop.time()
-                if not keep:
+                keeps = await self._respond(behaviour, request_id, writer, reader)
+                if execution is not None:
+                    execution.ended_s = loop.time()
+                if not keeps:
                     return
         except (asyncio.IncompleteReadError, asyncio.LimitOverrunError, OSError, RuntimeError):
             pass
         finally:
-            if run is not None and run.ended_s is None:
-                run.ended_s = loop.time()
+            if execution is not None and execution.ended_s is None:
+                execution.ended_s = loop.time()
             writer.close()
 
-    async def _answer(
+    def _note_attempt(self, message: Message, behaviour: Behaviour) -> Execution | None:
+        deadline_ms = int(message.headers.get("req-deadline-ms", "0"))
+        request_id = message.headers.get("req-id", "")
+        now_s = asyncio.get_running_loop().time()
+        executes = behaviour is not Behaviour.DECLINE
+        return self.oracle.attempt(request_id, self.name, deadline_ms, now_s, executes)
+
+    async def _respond(
         self,
         behaviour: Behaviour,
         request_id: str,
         writer: asyncio.StreamWriter,
         reader: asyncio.StreamReader,
     ) -> bool:
-        """Answer, and return whether the connection stays."""
-        body = request_id.encode() + self.rng.randbytes(self.rng.choice((0, 40, 3000, 20_000)))
-        if behaviour is Behaviour.DECLINE:
-            writer.write(b"HTTP/1.1 503 X\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")
-            return True
-        await self._work(reader, self.rng.expovariate(1 / 0.02))
-        if behaviour is Behaviour.ERROR:
-            writer.write(b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n")
-            return True
-        if behaviour is Behaviour.HANG:
-            await reader.read(1)  # until the sidecar gives up
-            return False
-        if behaviour is Behaviour.NOISE:
-            writer.write(b"\x00noise\r\n\r\n")
-            return False
+        """Answer one attempt; return whether the connection stays."""
+        body = request_id.encode() + self.rng.randbytes(self.rng.choice(BODY_SIZES))
+        if behaviour is not Behaviour.DECLINE:
+            await self._work(reader, self.rng.expovariate(1 / MEAN_SERVICE_S))
         if behaviour is Behaviour.SERVE:
-            return await self._whole(request_id, body, writer)
-        writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body[:-1]))
-        if behaviour is Behaviour.STOP:
-            await reader.read(1)
-            return False
-        reset(writer)
+            return await self._write_complete(request_id, body, writer)
+        if behaviour in SIMPLE_RESPONSES:
+            writer.write(SIMPLE_RESPONSES[behaviour])
+            return behaviour is not Behaviour.GARBAGE
+        if behaviour is not Behaviour.HANG:
+            writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body[:-1]))
+        if behaviour in (Behaviour.HANG, Behaviour.STALL):
+            await reader.read(1)  # until the sidecar gives up
+        else:
+            reset(writer)
         return False
 
     async def _work(self, reader: asyncio.StreamReader, seconds: float) -> None:
@@ -118,34 +135,43 @@
             await asyncio.wait_for(reader.read(1), seconds)
             raise ConnectionResetError
 
-    async def _whole(self, request_id: str, body: bytes, writer: asyncio.StreamWriter) -> bool:
+    async def _write_complete(self, request_id: str, body: bytes, writer: asyncio.StreamWriter) -> bool:
+        """Write a complete response in a drawn form; return whether the connection stays."""
         self.oracle.records[request_id].bodies.add(body)
+        data, keeps = self._encode(body)
+        if self.rng.random() < TWO_WRITES_SHARE:
+            offset = self.rng.randrange(len(data))
+            writer.write(data[:offset])
+            await asyncio.sleep(BETWEEN_WRITES_S)
+            data = data[offset:]
+        writer.write(data)
+        await writer.drain()
+        return keeps
+
+    def _encode(self, body: bytes) -> tuple[bytes, bool]:
+        """Return a response in one of four forms, and whether the connection outlives it."""
         form = self.rng.randrange(4)
-        if form == 0:
-            data, keep = b"HTTP/1.1 200 OK\r\nX-Note: n\r\n\r\n" + body, False
-        elif form == 1:
+        if form == 0:  # ends with the connection
+            return b"HTTP/1.1 200 OK\r\nX-Note: n\r\n\r\n" + body, False
+        if form == 1:
             chunk = b"%x\r\n%b\r\n0\r\n\r\n" % (len(body), body)
             coding = self.rng.choice((b"chunked", b" chunked ", b"  Chunked"))
-            data, keep = b"HTTP/1.1 200 OK\r\nTransfer-Encoding:%b\r\n\r\n%b" % (coding, chunk), True
-        else:
-            data, keep = b"HTTP/1.1 200 OK\r\ncontent-length: %d \r\n\r\n%b" % (len(body), body), True
-        if self.rng.random() < 0.3:
-            place = self.rng.randrange(len(data))
-            writer.write(data[:place])
-            await asyncio.sleep(0.01)
-            data = data[place:]
-        writer.write(data)
-        await writer.drain()
-        return keep
+            return b"HTTP/1.1 200 OK\r\nTransfer-Encoding:%b\r\n\r\n%b" % (coding, chunk), True
+        return b"HTTP/1.1 200 OK\r\ncontent-length: %d \r\n\r\n%b" % (len(body), body), True
 
 
 class FaultProxy:
-    """Passes bytes on between a sidecar and an endpoint, and breaks connections at any byte."""
+    """Passes bytes on between a sidecar and an endpoint, and breaks connections at any byte.
+
+    Args:
+        endpoint_port: the endpoint's loopback port.
+        rng: random numbers, shared with the endpoint.
+    """
 
-    def __init__(self, target: int, rng: random.Random) -> None:
-        self.target = target
+    def __init__(self, endpoint_port: int, rng: random.Random) -> None:
+        self.endpoint_port = endpoint_port
         self.rng = rng
-        self.breaks = 0.0  # share of connections that break, at most this many bytes on
+        self.break_share = 0.0  # of connections that break within their first bytes
         self.writers: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> FaultProxy:
@@ -156,25 +182,26 @@
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
-            behind = await asyncio.open_connection("127.0.0.1", self.target)
+            upstream_reader, upstream_writer = await asyncio.open_connection("127.0.0.1", self.endpoint_port)
         except OSError:
             reset(writer)
             return
-        both = {writer, behind[1]}
+        both = {writer, upstream_writer}
         self.writers |= both
-        passed = [
-            asyncio.ensure_future(self._pass(reader, behind[1])),
-            asyncio.ensure_future(self._pass(behind[0], writer)),
+        copies = [
+            asyncio.ensure_future(self._copy(reader, upstream_writer)),
+            asyncio.ensure_future(self._copy(upstream_reader, writer)),
         ]
-        await asyncio.wait(passed)
+        await asyncio.wait(copies)
         self.writers -= both
         for each in both:
             each.close()
 
-    async def _pass(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        left = self.rng.randrange(4000) if self.rng.random() < self.breaks else None
+    async def _copy(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        breaks = self.rng.random() < self.break_share
+        left = self.rng.randrange(BREAK_WITHIN_BYTES) if breaks else None
         try:
-            while data := await reader.read(16_384):
+            while data := await reader.read(READ_BYTES):
                 if left is not None:
                     data, left = data[:left], left - len(data)
                 writer.write(data)
--- a/faults/preload.py
+++ b/faults/preload.py
@@ -20,7 +20,7 @@
 SHORT = -1  # in place of an error: a transfer of a few bytes
 
 
-class Call(IntEnum):
+class SystemCall(IntEnum):
     """Kinds of system calls, in the order of the library's slots."""
 
     SOCKET = 0
@@ -34,10 +34,16 @@
 
 
 # What Linux documents for these calls and sockets, beyond the end of the connection itself.
-DOCUMENTED: dict[Call, tuple[int, ...]] = {
-    Call.SOCKET: (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM),
-    Call.CONNECT: (errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.EINTR, errno.EAGAIN, errno.ECONNREFUSED),
-    Call.ACCEPT: (
+DOCUMENTED: dict[SystemCall, tuple[int, ...]] = {
+    SystemCall.SOCKET: (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM),
+    SystemCall.CONNECT: (
+        errno.EADDRNOTAVAIL,
+        errno.ENETUNREACH,
+        errno.EINTR,
+        errno.EAGAIN,
+        errno.ECONNREFUSED,
+    ),
+    SystemCall.ACCEPT: (
         errno.EMFILE,
         errno.ENFILE,
         errno.ENOBUFS,
@@ -46,16 +52,20 @@
         errno.EPROTO,
         errno.EINTR,
     ),
-    Call.READ: (errno.EINTR, errno.EAGAIN, errno.ENOMEM, SHORT),
-    Call.WRITE: (errno.EINTR, errno.EAGAIN, errno.ENOBUFS, errno.ENOMEM, SHORT),
-    Call.EPOLL_CTL: (errno.ENOMEM, errno.ENOSPC),
-    Call.EPOLL_WAIT: (errno.EINTR,),
-    Call.POLL: (errno.EINTR, errno.ENOMEM),
+    SystemCall.READ: (errno.EINTR, errno.EAGAIN, errno.ENOMEM, SHORT),
+    SystemCall.WRITE: (errno.EINTR, errno.EAGAIN, errno.ENOBUFS, errno.ENOMEM, SHORT),
+    SystemCall.EPOLL_CTL: (errno.ENOMEM, errno.ENOSPC),
+    SystemCall.EPOLL_WAIT: (errno.EINTR,),
+    SystemCall.POLL: (errno.EINTR, errno.ENOMEM),
 }
 
 
 def build(folder: Path) -> Path:
-    """Compile the library into a folder; a failure raises CalledProcessError with the compiler's words."""
+    """Compile the library into a folder and return its path.
+
+    Raises:
+        subprocess.CalledProcessError: with what the compiler printed.
+    """
     library = folder / "preload.so"
     command = ["cc", "-O2", "-Wall", "-Werror", "-shared", "-fPIC", "-o", str(library), str(SOURCE), "-ldl"]
     subprocess.run(command, check=True, capture_output=True, text=True)
@@ -67,7 +77,7 @@
 
     def __init__(self, path: Path, seed: int = 1) -> None:
         self.path = path
-        size = HEADER.size + SLOT.size * len(Call)
+        size = HEADER.size + SLOT.size * len(SystemCall)
         path.write_bytes(bytes(size))
         with path.open("r+b") as file:
             self._memory = mmap.mmap(file.fileno(), size)
@@ -77,26 +87,26 @@
         """The variables with which the process has to be started."""
         return {"LD_PRELOAD": str(library), "FAULT_CONTROL": str(self.path)}
 
-    def _place(self, call: Call) -> int:
+    def _place(self, call: SystemCall) -> int:
         return HEADER.size + SLOT.size * call
 
     def step_clock(self, offset_us: int) -> None:
         """Set the wall clock so far ahead (behind, below 0) of the machine's."""
         struct.pack_into("=q", self._memory, 0, offset_us)
 
-    def fail_next(self, call: Call, error: int, count: int = 1, skip: int = 0) -> None:
+    def fail_next(self, call: SystemCall, error: int, count: int = 1, skip: int = 0) -> None:
         """Let the next calls of a kind fail, after so many that pass."""
         place = self._place(call)
         ARMED.pack_into(self._memory, place, skip, 0, error, 0)
         RANDOM.pack_into(self._memory, place + 4, count)  # last: it arms the others
 
-    def shorten_next(self, call: Call, limit: int, count: int = 1) -> None:
+    def shorten_next(self, call: SystemCall, limit: int, count: int = 1) -> None:
         """Let the next calls of a kind move so many bytes at most."""
         place = self._place(call)
         ARMED.pack_into(self._memory, place, 0, 0, 0, limit)
         RANDOM.pack_into(self._memory, place + 4, count)
 
-    def fail_at_random(self, call: Call, per_million: int, errors: Sequence[int] = ()) -> None:
+    def fail_at_random(self, call: SystemCall, per_million: int, errors: Sequence[int] = ()) -> None:
         """Let a share of the calls of a kind fail, by default with any error that is documented."""
         chosen = tuple(errors or DOCUMENTED[call])[:ERRORS]
         place = self._place(call)
@@ -105,7 +115,7 @@
         )
         RANDOM.pack_into(self._memory, place + RANDOM_PLACE, per_million)
 
-    def hits(self, call: Call) -> int:
+    def hits(self, call: SystemCall) -> int:
         """How many calls of a kind have failed or been shortened so far."""
         return int(RANDOM.unpack_from(self._memory, self._place(call) + HITS_PLACE)[0])
 
--- /dev/null
+++ b/faults/report.py
@@ -0,0 +1,50 @@
+"""The report of a soak: what was played, and each broken promise."""
+
+from __future__ import annotations
+
+from collections import Counter
+
+from faults.context import SoakContext
+from faults.injector import RANDOM_CALLS, FaultInjector
+from faults.world import World
+
+MOST_VIOLATIONS = 40  # that are printed
+
+
+def format_report(context: SoakContext, world: World, injector: FaultInjector) -> str:
+    """Return the report as lines of text."""
+    injected = sorted((fault.value, count) for fault, count in injector.injected.items())
+    lines = [
+        f"seed {context.plan.seed}: {len(world.sidecars)} sidecars,"
+        f" {sum(sidecar.starts for sidecar in world.sidecars)} starts; {context.plan.text()}",
+        _discovery_line(context),
+        "faults: " + ", ".join(f"{name} {count}" for name, count in injected),
+        "seen: " + ", ".join(f"{name} {count}" for name, count in sorted(context.oracle.counts.items())),
+        "failed system calls: " + ", ".join(_failed_calls(world)),
+    ]
+    return "\n".join([*lines, *_violation_lines(context)])
+
+
+def _discovery_line(context: SoakContext) -> str:
+    discovery, shutdowns = context.discovery, context.shutdowns
+    return (
+        f"discovery: {discovery.generation} generations, {discovery.polls} polls,"
+        f" {discovery.rejected} rejected; {shutdowns.count} ends by SIGTERM,"
+        f" {shutdowns.least_margin_s:.3f} s before SIGKILL at the least;"
+        f" lag {context.oracle.worst_lag_s * 1000:.0f} ms"
+    )
+
+
+def _failed_calls(world: World) -> list[str]:
+    return [
+        f"{call.name.lower()} {sum(sidecar.control.hits(call) for sidecar in world.sidecars)}"
+        for call in RANDOM_CALLS
+    ]
+
+
+def _violation_lines(context: SoakContext) -> list[str]:
+    violations = context.oracle.violations
+    by_promise = Counter(violation.promise for violation in violations)
+    lines = [f"broken {count} times: {promise.value}" for promise, count in by_promise.items()]
+    shown = violations[:MOST_VIOLATIONS]
+    return [*lines, *(f"  {v.at_s:.3f} {v.promise.name}: {v.detail}" for v in shown)]
--- /dev/null
+++ b/faults/world.py
@@ -0,0 +1,80 @@
+"""The endpoints and the sidecars that a soak plays with."""
+
+from __future__ import annotations
+
+import asyncio
+import random
+from pathlib import Path
+
+from faults.context import SoakContext
+from faults.endpoints import FaultProxy, FaultyEndpoint
+from faults.sidecar_process import SidecarProcess
+from faults.targets import SidecarTarget
+from testbed.discovery_wire import Row, endpoint_row
+from testbed.ports import free_port
+
+MS_PER_S = 1000
+
+
+class World:
+    """All endpoints behind their proxies, and all sidecars.
+
+    Args:
+        context: what the whole soak shares.
+        folder: where each sidecar gets a folder of its own.
+    """
+
+    def __init__(self, context: SoakContext, folder: Path) -> None:
+        self.context = context
+        self.folder = folder
+        self.endpoints: list[FaultyEndpoint] = []
+        self.proxies: dict[str, FaultProxy] = {}
+        self.sidecars: list[SidecarProcess] = []
+        self.retired: set[str] = set()  # endpoints that discovery lists as draining, or not any more
+
+    async def start(self) -> None:
+        """Start all endpoints and sidecars."""
+        plan = self.context.plan
+        for _ in range(plan.endpoints):
+            await self.add_endpoint()
+        for number in range(plan.sidecars):
+            target = SidecarTarget(f"n{number}", free_port())
+            self.sidecars.append(SidecarProcess(target, self.context, self.folder / target.name))
+        await asyncio.gather(*(sidecar.start() for sidecar in self.sidecars))
+
+    async def stop(self) -> None:
+        """Kill all sidecars that still run."""
+        for sidecar in self.sidecars:
+            if sidecar.process is not None and sidecar.process.returncode is None:
+                await sidecar.kill()
+
+    def free_sidecar(self) -> SidecarProcess | None:
+        """Return a drawn sidecar that is not being restarted; None where a third or less are left."""
+        free = [s for s in self.sidecars if not s.restarting and s.target.accepts_clients]
+        return self.context.rng.choice(free) if 3 * len(free) > len(self.sidecars) else None
+
+    async def add_endpoint(self, warming_up: bool = False) -> None:
+        """Start a new endpoint behind a proxy and list it."""
+        plan = self.context.plan
+        number = len(self.endpoints)
+        rng = random.Random(f"{plan.seed}-{number}")
+        endpoint = FaultyEndpoint(f"s-{number}", self.context.oracle, rng, plan.endpoint_fault_scale)
+        await endpoint.start()
+        proxy = await FaultProxy(endpoint.port, rng).start()
+        self.endpoints.append(endpoint)
+        self.proxies[endpoint.name] = proxy
+        self.list_endpoint(endpoint.name, "ready", warming_up)
+
+    def list_endpoint(self, name: str, lifecycle: str, warming_up: bool = False) -> None:
+        """Let discovery list an endpoint with this lifecycle, as started now where it is warming up."""
+        self.context.discovery.change(self._row(name, lifecycle, warming_up))
+
+    def _row(self, name: str, lifecycle: str, warming_up: bool) -> Row:
+        now_ms = int(asyncio.get_running_loop().time() * MS_PER_S)
+        return endpoint_row(
+            name,
+            f"127.0.0.1:{self.proxies[name].port}",
+            zone=self.context.rng.choice("ab"),
+            lifecycle=lifecycle,
+            started_ms=now_ms if warming_up else 0,
+        )
--- a/tests/sidecar_support.py
+++ b/tests/sidecar_support.py
@@ -6,8 +6,6 @@
 import contextlib
 import json
 import os
-import random
-import socket
 import subprocess
 import sys
 from collections.abc import AsyncIterator, Coroutine
@@ -22,6 +20,7 @@
 from corkdoor.sidecar.discovery import read_endpoint_list
 from corkdoor.sidecar.proxy import Proxy
 from corkdoor.sidecar.server import Server
+from testbed.ports import free_port
 
 PATIENCE_S = 10.0  # a test that waits longer for an event has failed
 
@@ -305,14 +304,6 @@
             assert line, "the log has ended"
 
 
-def free_port() -> int:
-    """A port that nobody has, below those that outgoing connections get: they would race for it."""
-    while True:
-        port = random.randrange(10_000, 30_000)
-        with contextlib.suppress(OSError), socket.create_server(("127.0.0.1", port)):
-            return port
-
-
 @contextlib.asynccontextmanager
 async def program(tmp_path: Path, changes: dict[str, Any], **variables: str) -> AsyncIterator[Program]:
     endpoint = await Fake().start()
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from faults.preload import SHORT, Call, FaultControl, build
+from faults.preload import SHORT, FaultControl, SystemCall, build
 from tests.sidecar_support import Fake, Program, listing, program, row, run
 
 ANSWER = b"x" * 3000
@@ -29,7 +29,9 @@
         (await running.endpoint.next()).reply(200, ANSWER)
 
 
-async def served_with(running: Program, control: FaultControl, call: Call, error: int, skip: int) -> None:
+async def served_with(
+    running: Program, control: FaultControl, call: SystemCall, error: int, skip: int
+) -> None:
     """Ask on a connection that is up already, and on new ones, while that call fails."""
     serving = asyncio.create_task(serve(running))
     client = await running.client()
@@ -45,7 +47,7 @@
     serving.cancel()
 
 
-def check(tmp_path: Path, library: Path, call: Call, error: int, skip: int) -> None:
+def check(tmp_path: Path, library: Path, call: SystemCall, error: int, skip: int) -> None:
     control = FaultControl(tmp_path / "control")
 
     async def test() -> None:
@@ -76,37 +78,37 @@
 def test_client_whose_connection_could_not_be_taken_at_once_is_served(
     error: int, skip: int, tmp_path: Path, library: Path
 ) -> None:
-    check(tmp_path, library, Call.ACCEPT, error, skip)
+    check(tmp_path, library, SystemCall.ACCEPT, error, skip)
 
 
 MOMENTARY = [
-    (Call.READ, errno.EINTR),
-    (Call.READ, errno.EAGAIN),
-    (Call.READ, errno.ENOMEM),
-    (Call.READ, SHORT),
-    (Call.WRITE, errno.EINTR),
-    (Call.WRITE, errno.EAGAIN),
-    (Call.WRITE, errno.ENOBUFS),
-    (Call.WRITE, errno.ENOMEM),
-    (Call.WRITE, SHORT),
-    (Call.POLL, errno.EINTR),
-    (Call.POLL, errno.ENOMEM),
+    (SystemCall.READ, errno.EINTR),
+    (SystemCall.READ, errno.EAGAIN),
+    (SystemCall.READ, errno.ENOMEM),
+    (SystemCall.READ, SHORT),
+    (SystemCall.WRITE, errno.EINTR),
+    (SystemCall.WRITE, errno.EAGAIN),
+    (SystemCall.WRITE, errno.ENOBUFS),
+    (SystemCall.WRITE, errno.ENOMEM),
+    (SystemCall.WRITE, SHORT),
+    (SystemCall.POLL, errno.EINTR),
+    (SystemCall.POLL, errno.ENOMEM),
 ]
 
 
 @pytest.mark.parametrize("skip", [0, 1, 2, 3])
 @pytest.mark.parametrize(("call", "error"), MOMENTARY, ids=[f"{c.name}-{e}" for c, e in MOMENTARY])
 def test_transfer_that_fails_for_a_moment_loses_nothing(
-    call: Call, error: int, skip: int, tmp_path: Path, library: Path
+    call: SystemCall, error: int, skip: int, tmp_path: Path, library: Path
 ) -> None:
     """Whatever it hits: reading the request, sending it on, reading its answer or passing that on."""
     check(tmp_path, library, call, error, skip)
 
 
 DIAL_ERRORS = [
-    *((Call.SOCKET, error) for error in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)),
+    *((SystemCall.SOCKET, error) for error in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)),
     *(
-        (Call.CONNECT, error)
+        (SystemCall.CONNECT, error)
         for error in (
             errno.EADDRNOTAVAIL,
             errno.EAGAIN,
@@ -122,7 +124,7 @@
 
 @pytest.mark.parametrize(("call", "error"), DIAL_ERRORS, ids=[f"{c.name}-{e}" for c, e in DIAL_ERRORS])
 def test_connection_to_an_endpoint_that_fails_at_once_is_tried_again(
-    call: Call, error: int, tmp_path: Path, library: Path
+    call: SystemCall, error: int, tmp_path: Path, library: Path
 ) -> None:
     """The request surely never ran, so it goes elsewhere, here to the other entry of the same endpoint."""
     control = FaultControl(tmp_path / "control")
@@ -154,7 +156,7 @@
             serving = asyncio.create_task(serve(running))
             client = await running.client()
             assert (await client.ask("look")).status == 200
-            control.fail_next(Call.READ, error)
+            control.fail_next(SystemCall.READ, error)
             client.send("look")
             with contextlib.suppress(ConnectionResetError):
                 assert await client.reader.read() == b""
--- a/tests/test_fault_soak.py
+++ b/tests/test_fault_soak.py
@@ -9,19 +9,19 @@
 import pytest
 import uvloop
 
-from faults.discovery import Shape
-from faults.notifications import TOLD_AFTER_S, Change, Notifications
+from faults.notifications import NOTIFIED_AFTER_S, Change, Notifications
 from faults.oracle import (
-    AFTER_LEAVING_S,
-    HELD_UP_S,
+    AFTER_CLOSE_S,
     LATE_S,
+    STALL_S,
     TRANSIT_S,
-    Effect,
+    Idempotency,
     Oracle,
     Promise,
-    Record,
+    RequestRecord,
 )
-from faults.plan import Plan, crowded, drawn
+from faults.plan import DiscoveryProfile, Fault, Plan, draw_plan, overloaded_plan
+from faults.sidecar_log import LogFinding, read_findings
 from faults.soak import Soak, play
 
 WINDOW_S = 1.5
@@ -29,11 +29,13 @@
 NOW_S = 100.0
 
 
-def oracle_with(effect: Effect = Effect.UNSAFE, **changes: float) -> tuple[Oracle, Record]:
+def oracle_with(
+    idempotency: Idempotency = Idempotency.UNSAFE, **changes: float
+) -> tuple[Oracle, RequestRecord]:
     notifications = Notifications()
     notifications.started("n0", 1, 0.0)
     oracle = Oracle(WINDOW_S, GRACE_S, notifications)
-    record = Record("r-1", effect, NOW_S, 1.0, "n0")
+    record = RequestRecord("r-1", idempotency, NOW_S, 1.0, "n0")
     for name, value in changes.items():
         setattr(record, name, value)
     oracle.sent(record)
@@ -54,24 +56,24 @@
     asyncio.run(test())
 
 
-def test_request_that_is_served_once_breaks_nothing() -> None:
+def test_request_that_executes_once_breaks_nothing() -> None:
     oracle, record = oracle_with()
-    run = oracle.attempt("r-1", "s-0", 900, NOW_S + 0.1, runs=True)
-    assert run is not None
-    run.ended_s = NOW_S + 0.2
+    execution = oracle.attempt("r-1", "s-0", 900, NOW_S + 0.1, executes=True)
+    assert execution is not None
+    execution.ended_s = NOW_S + 0.2
     record.bodies.add(b"made")
     oracle.judge(record, 200, b"made", NOW_S + 0.2)
     assert found(oracle) == []
 
 
 @pytest.mark.parametrize("late_s", [LATE_S - 0.01, LATE_S + 0.01])
-def test_late_answer(late_s: float) -> None:
+def test_late_response(late_s: float) -> None:
     oracle, record = oracle_with()
     oracle.judge(record, 504, b"", NOW_S + 1.0 + late_s)
     assert found(oracle) == ([Promise.ANSWERED] if late_s > LATE_S else [])
 
 
-def test_missing_answer_and_one_that_is_excused() -> None:
+def test_missing_response_and_one_that_is_excused() -> None:
     oracle, record = oracle_with()
     oracle.judge(record, None, b"", NOW_S + 0.1)
     record.excused = True
@@ -80,77 +82,77 @@
 
 
 @pytest.mark.parametrize(("status", "broken"), [(400, True), (404, True), (429, False), (502, False)])
-def test_valid_request_that_is_turned_away_as_bad(status: int, broken: bool) -> None:
+def test_valid_request_that_is_rejected_as_bad(status: int, broken: bool) -> None:
     oracle, record = oracle_with()
     oracle.judge(record, status, b"", NOW_S + 0.1)
     assert found(oracle) == ([Promise.VALID] if broken else [])
 
 
-def test_answer_that_no_endpoint_made() -> None:
+def test_response_that_no_endpoint_sent() -> None:
     oracle, record = oracle_with()
     record.bodies.add(b"made")
     oracle.judge(record, 200, b"mad", NOW_S + 0.1)
     assert found(oracle) == [Promise.GENUINE]
 
 
-def test_refusal_of_an_unsafe_request_that_ran() -> None:
+def test_rejection_of_an_unsafe_request_that_executed() -> None:
     oracle, record = oracle_with()
-    oracle.attempt("r-1", "s-0", 900, NOW_S + 0.1, runs=True)
+    oracle.attempt("r-1", "s-0", 900, NOW_S + 0.1, executes=True)
     oracle.judge(record, 503, b"", NOW_S + 0.2)
-    assert found(oracle) == [Promise.REFUSAL_HARMLESS]
+    assert found(oracle) == [Promise.REJECTED_UNRUN]
 
 
-@pytest.mark.parametrize("effect", list(Effect))
-def test_second_run_beside_the_first(effect: Effect) -> None:
-    oracle, _ = oracle_with(effect)
+@pytest.mark.parametrize("idempotency", list(Idempotency))
+def test_second_execution_beside_the_first(idempotency: Idempotency) -> None:
+    oracle, _ = oracle_with(idempotency)
 
     def act() -> None:
-        oracle.attempt("r-1", "s-0", 900, NOW_S + 0.1, runs=True)
-        oracle.attempt("r-1", "s-1", 900, NOW_S + 0.1, runs=True)
+        oracle.attempt("r-1", "s-0", 900, NOW_S + 0.1, executes=True)
+        oracle.attempt("r-1", "s-1", 900, NOW_S + 0.1, executes=True)
 
     in_loop(act)
-    assert Promise.ONE_OUT in found(oracle)
-    assert (Promise.NOT_TWICE in found(oracle)) is (effect is Effect.UNSAFE)
+    assert Promise.ONE_IN_FLIGHT in found(oracle)
+    assert (Promise.NOT_TWICE in found(oracle)) is (idempotency is Idempotency.UNSAFE)
 
 
 @pytest.mark.parametrize("after_s", [WINDOW_S - 0.1, WINDOW_S + TRANSIT_S + 0.1])
 def test_keyed_repeat_past_its_window(after_s: float) -> None:
-    oracle, record = oracle_with(Effect.KEYED)
+    oracle, record = oracle_with(Idempotency.KEYED)
     record.deadline_s = 10.0
-    first = oracle.attempt("r-1", "s-0", 900, NOW_S, runs=True)
+    first = oracle.attempt("r-1", "s-0", 900, NOW_S, executes=True)
     assert first is not None
     first.ended_s = NOW_S + 0.1
-    oracle.attempt("r-1", "s-1", 900, NOW_S + after_s, runs=True)
+    oracle.attempt("r-1", "s-1", 900, NOW_S + after_s, executes=True)
     assert found(oracle) == ([Promise.NOT_TWICE] if after_s > WINDOW_S else [])
 
 
-def test_declined_attempt_is_no_run() -> None:
+def test_declined_attempt_is_no_execution() -> None:
     oracle, _ = oracle_with()
-    oracle.attempt("r-1", "s-0", 900, NOW_S, runs=False)
-    oracle.attempt("r-1", "s-1", 900, NOW_S, runs=True)
+    oracle.attempt("r-1", "s-0", 900, NOW_S, executes=False)
+    oracle.attempt("r-1", "s-1", 900, NOW_S, executes=True)
     assert found(oracle) == []
 
 
-@pytest.mark.parametrize("after_s", [AFTER_LEAVING_S, AFTER_LEAVING_S + HELD_UP_S + 0.05])
-def test_attempt_after_its_client_left(after_s: float) -> None:
-    oracle, _ = oracle_with(left_s=NOW_S)
-    oracle.attempt("r-1", "s-0", 500, NOW_S + after_s, runs=True)
-    assert found(oracle) == ([Promise.NOT_FOR_NOBODY] if after_s > AFTER_LEAVING_S + HELD_UP_S else [])
+@pytest.mark.parametrize("after_s", [AFTER_CLOSE_S, AFTER_CLOSE_S + STALL_S + 0.05])
+def test_attempt_after_its_client_closed(after_s: float) -> None:
+    oracle, _ = oracle_with(closed_s=NOW_S)
+    oracle.attempt("r-1", "s-0", 500, NOW_S + after_s, executes=True)
+    assert found(oracle) == ([Promise.CLIENT_PRESENT] if after_s > AFTER_CLOSE_S + STALL_S else [])
 
 
-@pytest.mark.parametrize("told_ms", [900, 1200])
-def test_deadline_that_is_told(told_ms: int) -> None:
+@pytest.mark.parametrize("announced_ms", [900, 1200])
+def test_deadline_that_an_attempt_announces(announced_ms: int) -> None:
     oracle, _ = oracle_with()
-    oracle.attempt("r-1", "s-0", told_ms, NOW_S + 0.1, runs=True)
-    assert found(oracle) == ([Promise.DEADLINE] if told_ms > 900 + 1000 * (HELD_UP_S + TRANSIT_S) else [])
+    oracle.attempt("r-1", "s-0", announced_ms, NOW_S + 0.1, executes=True)
+    assert found(oracle) == ([Promise.DEADLINE] if announced_ms > 900 + 1000 * (STALL_S + TRANSIT_S) else [])
 
 
 @pytest.mark.parametrize("late", [False, True])
 def test_attempt_at_an_endpoint_that_drains(late: bool) -> None:
     oracle, _ = oracle_with()
-    allowed_s = TOLD_AFTER_S + GRACE_S + HELD_UP_S + TRANSIT_S
+    allowed_s = NOTIFIED_AFTER_S + GRACE_S + STALL_S + TRANSIT_S
     oracle.notifications.change(Change(2, "s-0", False, NOW_S - allowed_s - (0.05 if late else -0.05)))
-    oracle.attempt("r-1", "s-0", 900, NOW_S, runs=True)
+    oracle.attempt("r-1", "s-0", 900, NOW_S, executes=True)
     assert found(oracle) == ([Promise.DRAIN] if late else [])
 
 
@@ -164,21 +166,51 @@
         assert (oracle.lag_s(), oracle.worst_lag_s) == (0.0, lag_s)
 
 
+LOG_LINES = (
+    ("2026 ERROR invariant broken: two attempts: r-1", LogFinding.INVARIANT_BROKEN),
+    ("2026 ERROR event=invariant_broken invariant=two_attempts", LogFinding.INVARIANT_BROKEN),
+    ("2026 ERROR event=illegal_transition subject=request", LogFinding.INVARIANT_BROKEN),
+    ("2026 WARNING invariant possibly broken: r-1", LogFinding.INVARIANT_POSSIBLY_BROKEN),
+    ("2026 WARNING event=invariant_possibly_broken", LogFinding.INVARIANT_POSSIBLY_BROKEN),
+    ("Traceback (most recent call last):", LogFinding.TRACEBACK),
+)
+
+
+@pytest.mark.parametrize(("line", "finding"), LOG_LINES)
+def test_each_finding_of_the_log(line: str, finding: LogFinding) -> None:
+    (found,) = read_findings(["2026 INFO event=drain_started", line, "  File"])
+    assert (found.finding, found.text) == (finding, line)
+
+
+def test_a_traceback_after_an_injected_wakeup_failure_is_no_finding() -> None:
+    lines = ["Exception ignored when trying to write to the signal wakeup fd:", "Traceback (most recent"]
+    assert list(read_findings(lines)) == []
+    assert len(list(read_findings([lines[0], "else", lines[1]]))) == 1
+
+
+def test_every_fault_of_a_plan_can_be_injected(tmp_path: Path) -> None:
+    soak = Soak(draw_plan(seed=1, sidecars=1, endpoints=1, seconds=0.0), tmp_path)
+    assert set(soak.injector.handlers) == set(Fault)
+
+
 def played(plan: Plan, folder: Path) -> Soak:
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         return runner.run(play(plan, folder))
 
 
 def test_short_play_of_real_processes_keeps_all_promises(tmp_path: Path) -> None:
-    soak = played(drawn(seed=3, sidecars=5, endpoints=5, seconds=40.0), tmp_path)
+    soak = played(draw_plan(seed=3, sidecars=5, endpoints=5, seconds=40.0), tmp_path)
     assert soak.oracle.violations == [], soak.report()
     assert soak.oracle.counts["answered 200"] > 200
-    assert soak.troubles.total() > 20
+    assert soak.injector.injected.total() > 20
 
 
-def test_moves_and_drains_at_a_crowded_discovery(tmp_path: Path) -> None:
-    """The incident: one sidecar in four to seven was turned away for up to 24 s, and never told."""
-    soak = played(crowded(seed=1, sidecars=7, seconds=25.0, shape=Shape(cost_s=0.28, room=0)), tmp_path)
+def test_moves_and_drains_at_an_overloaded_discovery(tmp_path: Path) -> None:
+    """Guards against sidecars that an overloaded discovery rejects for long, and that miss a drain."""
+    soak = played(
+        overloaded_plan(1, sidecars=7, seconds=25.0, discovery=DiscoveryProfile(cost_s=0.28, capacity=0)),
+        tmp_path,
+    )
     assert soak.oracle.violations == [], soak.report()
-    assert soak.discovery.refused > 20
+    assert soak.discovery.rejected > 20
     assert soak.oracle.counts["answered 200"] > 200
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -15,12 +15,12 @@
 
 import pytest
 
+from testbed.ports import free_port
 from tests.sidecar_support import (
     SETUP,
     Client,
     Fake,
     Program,
-    free_port,
     listing,
     program,
     ready,
