--- a/emulator/__init__.py
+++ b/emulator/__init__.py
@@ -1,4 +1,4 @@
-"""Emulates the platform round the sidecars: stand-ins on loopback, real sidecars, and hollow ones.
+"""Emulates the platform around the sidecars: endpoints, clients and discovery, and many simulated sidecars.
 
-The sidecar (`corkdoor`) imports nothing of this package; this package imports the sidecar as it is.
+Nothing of it is deployed: the sidecar imports nothing of this package, and this package imports the sidecar.
 """
--- a/emulator/breakdown.py
+++ b/emulator/breakdown.py
@@ -1,4 +1,4 @@
-"""The real sidecar with a stopwatch round each step of a call: where its processor time goes.
+"""The real sidecar with a stopwatch around each step of a request: where its processor time goes.
 
 Run in place of `corkdoor.sidecar`; on SIGUSR1 it writes what each step took, without the steps inside it, as
 one line of JSON to the file that `EMULATOR_BREAKDOWN` names. The stopwatch itself adds to each step.
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 import functools
+import importlib
 import json
 import os
 import signal
@@ -15,86 +16,138 @@
 from collections import Counter
 from collections.abc import Callable
 from pathlib import Path
-from typing import Any
-
-from corkdoor import balancer
-from corkdoor.policy.buckets import TokenBuckets
-from corkdoor.sidecar import __main__ as program
-from corkdoor.sidecar import clock, discovery, proxy, server, upstream
-from emulator.sidecar import VARIABLE
-
-# The step's name, its class, and its method.
-STEPS: tuple[tuple[str, type[Any], str], ...] = (
-    ("read request", server.ClientConnection, "data_received"),
-    ("admit", server.Server, "admit"),
-    ("host take", proxy.Proxy, "take"),
-    ("module order", balancer.Balancer, "on_request"),
-    ("module in-use sum", balancer.Balancer, "_in_use"),
-    ("module pick", balancer.Balancer, "_pick"),
-    ("module refill", TokenBuckets, "refill"),
-    ("hand off", proxy.Proxy, "send_attempt"),
-    ("take connection", upstream.Pool, "take"),
-    ("poll for staleness", upstream.Connection, "stale"),
-    ("write to endpoint", upstream.Connection, "send"),
-    ("read answer", upstream.Connection, "data_received"),
-    ("attempt ended", proxy.Proxy, "_ended"),
-    ("module reply", balancer.Balancer, "on_attempt_end"),
-    ("write to caller", server.ClientConnection, "answer"),
-    ("alarm set", clock.Alarm, "_arm"),
-    ("alarm cancelled", clock.Alarm, "cancel"),
-    ("chore: check callers", server.ClientConnection, "check"),
-    ("chore: report", proxy.Proxy, "report"),
-    ("list taken", proxy.Proxy, "on_list"),
-    ("watch", discovery.DiscoveryWatcher, "on_response"),
+from typing import Any, NamedTuple
+
+from emulator.errors import EmulatorError
+from emulator.sidecar import BREAKDOWN_VARIABLE
+
+NS_PER_US = 1000
+
+
+class Step(NamedTuple):
+    """A method that is timed; the label is its name in the records."""
+
+    label: str
+    module: str
+    owner: str  # the class
+    method: str
+
+
+BALANCER = ("corkdoor.balancer", "Balancer")
+CLIENT = ("corkdoor.sidecar.server", "ClientConnection")
+PROXY = ("corkdoor.sidecar.proxy", "Proxy")
+UPSTREAM = ("corkdoor.sidecar.upstream", "Connection")
+ALARM = ("corkdoor.sidecar.clock", "Alarm")
+
+# A method that is renamed or moved has to follow here; a test looks each of them up.
+STEPS = (
+    Step("read request", *CLIENT, "data_received"),
+    Step("admit", "corkdoor.sidecar.server", "Server", "admit"),
+    Step("host take", *PROXY, "take"),
+    Step("module order", *BALANCER, "on_request"),
+    Step("module in-use sum", *BALANCER, "_in_use"),
+    Step("module pick", *BALANCER, "_pick"),
+    Step("module refill", "corkdoor.policy.buckets", "TokenBuckets", "refill"),
+    Step("hand off", *PROXY, "send_attempt"),
+    Step("take connection", "corkdoor.sidecar.upstream", "Pool", "take"),
+    Step("poll for staleness", *UPSTREAM, "stale"),
+    Step("write to endpoint", *UPSTREAM, "send"),
+    Step("read answer", *UPSTREAM, "data_received"),
+    Step("attempt ended", *PROXY, "_ended"),
+    Step("module reply", *BALANCER, "on_attempt_end"),
+    Step("write to caller", *CLIENT, "answer"),
+    Step("alarm set", *ALARM, "_arm"),
+    Step("alarm cancelled", *ALARM, "cancel"),
+    Step("chore: check callers", *CLIENT, "check"),
+    Step("chore: report", *PROXY, "report"),
+    Step("list taken", *PROXY, "on_list"),
+    Step("watch", "corkdoor.sidecar.discovery", "DiscoveryWatcher", "on_response"),
 )
 
 
+class MissingStepError(EmulatorError):
+    """A step whose module, class or method does not exist.
+
+    Args:
+        step: that was looked up.
+    """
+
+    def __init__(self, step: Step) -> None:
+        super().__init__(f"{step.label}: no {step.module}.{step.owner}.{step.method}")
+        self.step = step
+
+
+def find_owner(step: Step) -> type[Any]:
+    """Return the class of a step's method.
+
+    Raises:
+        MissingStepError: there is no such module, class or method.
+    """
+    try:
+        owner: type[Any] = getattr(importlib.import_module(step.module), step.owner)
+        if callable(getattr(owner, step.method)):
+            return owner
+    except (ImportError, AttributeError):
+        pass
+    raise MissingStepError(step)
+
+
 class Stopwatch:
     """Time and count of each step, less what the steps inside it took; single-threaded."""
 
     def __init__(self) -> None:
         self.self_ns: Counter[str] = Counter()
         self.counts: Counter[str] = Counter()
-        self.inside = [0]  # of the steps that are running: what those inside them took
+        self._nested_ns = [0]  # of each step that is running: what the steps inside it took
 
-    def round(self, name: str, method: Callable[..., Any]) -> Callable[..., Any]:
-        """The method with the stopwatch round it."""
+    def wrap(self, label: str, method: Callable[..., Any]) -> Callable[..., Any]:
+        """Return the method with the stopwatch around it."""
 
         @functools.wraps(method)
-        def timed(*args: Any, **values: Any) -> Any:
-            self.inside.append(0)
-            begun = time.perf_counter_ns()
+        def timed(*arguments: Any, **keywords: Any) -> Any:
+            self._nested_ns.append(0)
+            started_ns = time.perf_counter_ns()
             try:
-                return method(*args, **values)
+                return method(*arguments, **keywords)
             finally:
-                took = time.perf_counter_ns() - begun
-                self.self_ns[name] += took - self.inside.pop()
-                self.counts[name] += 1
-                self.inside[-1] += took
+                took_ns = time.perf_counter_ns() - started_ns
+                self.self_ns[label] += took_ns - self._nested_ns.pop()
+                self.counts[label] += 1
+                self._nested_ns[-1] += took_ns
 
         return timed
 
     def install(self) -> None:
-        for name, owner, method in STEPS:
-            setattr(owner, method, self.round(name, getattr(owner, method)))
+        """Put the stopwatch around all steps.
+
+        Raises:
+            MissingStepError: one of them does not exist.
+        """
+        owners = [find_owner(step) for step in STEPS]
+        for step, owner in zip(STEPS, owners, strict=True):
+            setattr(owner, step.method, self.wrap(step.label, getattr(owner, step.method)))
 
     def figures(self) -> dict[str, Any]:
-        """Microseconds and counts by step, and the process's own processor time in microseconds."""
+        """Return microseconds and counts by step, and the process's own processor time in microseconds."""
         return {
-            "cpu_us": time.process_time_ns() / 1000,
-            "self_us": {name: ns / 1000 for name, ns in self.self_ns.items()},
+            "cpu_us": time.process_time_ns() / NS_PER_US,
+            "self_us": {label: ns / NS_PER_US for label, ns in self.self_ns.items()},
             "counts": dict(self.counts),
         }
 
     def write(self, *_: object) -> None:
         """Put the figures in place at once, so that no reader finds half of them."""
-        path = Path(os.environ[VARIABLE])
+        path = Path(os.environ[BREAKDOWN_VARIABLE])
         draft = path.with_suffix(".draft")
         draft.write_text(json.dumps(self.figures()), encoding="utf-8")
         draft.replace(path)
 
 
 def main() -> int:
+    """Run the sidecar with the stopwatch installed, and return its exit status."""
+    # Not at the top: a test looks the steps up without the program's own start.
+    from corkdoor.sidecar import __main__ as program
+
     stopwatch = Stopwatch()
     stopwatch.install()
     signal.signal(signal.SIGUSR1, stopwatch.write)
--- a/emulator/growth.py
+++ b/emulator/growth.py
@@ -1,40 +1,49 @@
 """`python -m emulator growth`: what a sidecar needs with 16 times the endpoints, row by row with its limit.
 
-The same day is played at the usual size and at the larger one: half of the endpoints are replaced while the
-sidecar is called, one message of changes each 50 ms. The traffic of the sidecar and the capacity of all
-endpoints together stay the same.
+The same day is played at the usual size and at the larger one: half of the endpoints are replaced while
+requests are sent through the sidecar, one message of changes each 50 ms. The traffic of the sidecar and the
+capacity of all endpoints together stay the same.
 """
 
 from __future__ import annotations
 
 import asyncio
-import os
 import time
 from datetime import UTC, datetime
 from pathlib import Path
-from typing import Annotated, Any
+from typing import Annotated, Any, NamedTuple, NoReturn
 
 import msgspec
 import typer
 from rich.console import Console
 from rich.table import Table
 
-from emulator import clients, endpoint
-from emulator.discovery import DiscoveryServer, Registry
-from emulator.sidecar import Sidecar, entry
-from emulator.slopes import endpoints
+from emulator.clients.messages import LoadRequest, LoadResult, LoadTarget
+from emulator.discovery.registry import Registry
+from emulator.discovery.server import DiscoveryServer
+from emulator.endpoints.messages import EndpointCounter
+from emulator.process_usage import count_descriptors, read_peak_memory_bytes
+from emulator.sidecar import Sidecar
+from emulator.slopes.fixtures import open_endpoints, read_counter
 from emulator.worker import Worker
+from testbed.discovery_wire import endpoint_row
 
 SERVICE = "all"
 USUAL, LARGE = 200, 3200
 BALANCERS = 40  # sidecars that share the endpoints
 CAPACITY = 3200  # requests that all endpoints together run at once
 MEDIAN_MS = 20.0
-CALLS_PER_S = 75.0
+REQUESTS_PER_S = 75.0
 SECONDS = 20.0
-CHANGE_EVERY_S = 0.05
-SAMPLE_EVERY_S = 0.2
+CHANGE_INTERVAL_S = 0.05
+SAMPLE_INTERVAL_S = 0.2
+SETTLE_S = 1.0  # until the first list has come, and the watch is open
+EXTRA_S = 20.0  # that the clients may take beyond the day
+KIB = 1 << 10
 MEGABYTE = 1 << 20
+TABLE_WIDTH = 100
+EXIT_LIMIT = 1
+EXIT_INVALID = 2
 app = typer.Typer(add_completion=False)
 
 
@@ -46,134 +55,161 @@
     peak_memory_bytes: int
     descriptors: int
     connections: int  # made to endpoints
-    list_bytes: int  # from discovery, while it told changes
+    list_bytes: int  # from discovery, while endpoints were replaced
     share_served: float
-    held: bool  # whether the clients kept their rate
+    valid: bool = msgspec.field(name="held")  # whether the clients sustained their rate
 
 
-class Row(msgspec.Struct):
-    """One line of the table: a need at both sizes, and the most (or least) that is allowed at the larger."""
+class Comparison(msgspec.Struct):
+    """One need at both sizes, and the most (or least) that is allowed at the larger."""
 
     need: str
     usual: float
     large: float
     limit: float
-    held: bool
+    within_limit: bool = msgspec.field(name="held")
 
 
-def rows(usual: Needs, large: Needs) -> list[Row]:
-    """The limits of the standing test on growth; the thousands are those of the larger size."""
-    thousands = large.endpoints / 1000
-    at_most = (
-        ("processor time, s", usual.cpu_s, large.cpu_s, 1.4 * usual.cpu_s + 0.02 + 0.12 * thousands),
-        (
-            "peak memory, MB",
-            usual.peak_memory_bytes / MEGABYTE,
-            large.peak_memory_bytes / MEGABYTE,
-            1.5 * usual.peak_memory_bytes / MEGABYTE + 8 + 4 * thousands,
-        ),
-        ("descriptors", usual.descriptors, large.descriptors, 2 * usual.descriptors + 40),
-        ("connections to endpoints", usual.connections, large.connections, 2.5 * usual.connections + 40),
-        (
-            "bytes of lists, KB",
-            usual.list_bytes / 1024,
-            large.list_bytes / 1024,
-            2 * usual.list_bytes / 1024 + 64 + 500 * thousands,
-        ),
-    )
-    found = [Row(need, few, many, limit, many <= limit) for need, few, many, limit in at_most]
-    least = 0.85 * usual.share_served
-    found.append(
-        Row("share served", usual.share_served, large.share_served, least, large.share_served >= least)
-    )
-    return found
+class _Limit(NamedTuple):
+    """The most that is allowed: a factor on the usual size, a constant, and an addition by 1000 endpoints."""
+
+    factor: float
+    constant: float
+    per_thousand: float = 0.0
+
+    def at(self, usual: float, thousands: float) -> float:
+        return self.factor * usual + self.constant + self.per_thousand * thousands
 
 
-class Sampler:
-    """Follows the descriptors of a process; the kernel keeps its peak of memory."""
+LIMITS = {
+    "processor time, s": _Limit(1.4, 0.02, 0.12),
+    "peak memory, MB": _Limit(1.5, 8, 4),
+    "descriptors": _Limit(2, 40),
+    "connections to endpoints": _Limit(2.5, 40),
+    "bytes of lists, KB": _Limit(2, 64, 500),
+}
+LEAST_SERVED = 0.85  # of the share that is served at the usual size
+
+
+def compare_needs(usual: Needs, large: Needs) -> list[Comparison]:
+    """Return each need with its limit; the thousands are those of the larger size."""
+    thousands = large.endpoints / 1000
+    compared = []
+    for need, limit in LIMITS.items():
+        few, many = _figures(usual)[need], _figures(large)[need]
+        most = limit.at(few, thousands)
+        compared.append(Comparison(need, few, many, most, many <= most))
+    least = LEAST_SERVED * usual.share_served
+    within = large.share_served >= least
+    compared.append(Comparison("share served", usual.share_served, large.share_served, least, within))
+    return compared
+
+
+def _figures(needs: Needs) -> dict[str, float]:
+    return {
+        "processor time, s": needs.cpu_s,
+        "peak memory, MB": needs.peak_memory_bytes / MEGABYTE,
+        "descriptors": needs.descriptors,
+        "connections to endpoints": needs.connections,
+        "bytes of lists, KB": needs.list_bytes / KIB,
+    }
+
+
+class DescriptorSampler:
+    """Follows how many descriptors a process has open.
+
+    Args:
+        pid: the process.
+    """
 
     def __init__(self, pid: int) -> None:
-        self.folder = Path("/proc") / str(pid)
-        self.descriptors = 0
+        self.pid = pid
+        self.most = 0
 
-    async def run(self) -> None:
+    async def run(self) -> NoReturn:
+        """Sample until cancelled."""
         while True:
-            self.descriptors = max(self.descriptors, len(os.listdir(self.folder / "fd")))
-            await asyncio.sleep(SAMPLE_EVERY_S)
+            self.most = max(self.most, count_descriptors(self.pid))
+            await asyncio.sleep(SAMPLE_INTERVAL_S)
+
+
+async def replace_half(server: DiscoveryServer, addresses: dict[str, str], size: int, seconds: float) -> None:
+    """Replace half of the endpoints in even steps: the old ones leave as the new ones come.
+
+    Args:
+        server: whose list is changed.
+        addresses: of all endpoints by name; those behind the first `size` are the new ones.
+        size: the endpoints of the list.
+        seconds: how long it takes.
+    """
+    old = list(addresses)[: size // 2]
+    new = list(addresses)[size:]
+    messages = max(1, int(seconds / CHANGE_INTERVAL_S))
+    started_s = time.monotonic()
+    for number in range(messages):
+        first, end = number * len(old) // messages, (number + 1) * len(old) // messages
+        rows = [endpoint_row(name, addresses[name], lifecycle="gone") for name in old[first:end]]
+        rows += [endpoint_row(name, addresses[name]) for name in new[first:end]]
+        if rows:
+            server.change(SERVICE, rows)
+        await asyncio.sleep(max(0.0, started_s + (number + 1) * CHANGE_INTERVAL_S - time.monotonic()))
 
-    def peak_memory_bytes(self) -> int:
-        text = (self.folder / "status").read_text(encoding="utf-8")
-        line = next(line for line in text.splitlines() if line.startswith("VmHWM:"))
-        return int(line.split()[1]) * 1024
 
+class _Day(NamedTuple):
+    """The processes of one day."""
 
-async def replace_half(server: DiscoveryServer, names: dict[str, str], size: int, seconds: float) -> None:
-    """Replace half of the endpoints in even steps: the old ones go as the new ones come."""
-    old = list(names)[: size // 2]
-    new = list(names)[size:]
-    messages = max(1, int(seconds / CHANGE_EVERY_S))
-    begun = time.monotonic()
-    for number in range(messages):
-        until = (number + 1) * len(old) // messages
-        done = number * len(old) // messages
-        changed = [entry(name, names[name], lifecycle="gone") for name in old[done:until]]
-        changed += [entry(name, names[name]) for name in new[done:until]]
-        if changed:
-            server.change(SERVICE, changed)
-        await asyncio.sleep(max(0.0, begun + (number + 1) * CHANGE_EVERY_S - time.monotonic()))
+    endpoints: Worker
+    clients: Worker
+    sidecar: Sidecar
+    server: DiscoveryServer
 
 
 async def measure(size: int, seconds: float) -> Needs:
-    """Play the day with so many endpoints."""
-    kind = {"median_ms": MEDIAN_MS, "cores": max(1, CAPACITY // size)}
-    async with endpoints(size + size // 2, **kind) as (worker, names):
-        listed = {name: names[name] for name in list(names)[:size]}
-        server = DiscoveryServer(Registry({SERVICE: [entry(n, a) for n, a in listed.items()]}))
+    """Play the day with so many endpoints, and return what the sidecar needed."""
+    profile = {"median_ms": MEDIAN_MS, "cores": max(1, CAPACITY // size)}
+    async with open_endpoints(size + size // 2, **profile) as (endpoints, addresses):
+        initial = {name: addresses[name] for name in list(addresses)[:size]}
+        rows = [endpoint_row(name, address) for name, address in initial.items()]
+        server = DiscoveryServer(Registry({SERVICE: rows}))
         await server.start()
         settings: dict[str, Any] = {"Discovery": "ask", "Balancers": BALANCERS}
         async with (
-            Sidecar(listed, server.address(SERVICE), **settings) as sidecar,
-            Worker("emulator.clients") as caller,
+            Sidecar(initial, server.address(SERVICE), **settings) as sidecar,
+            Worker("emulator.clients") as clients,
         ):
-            await asyncio.sleep(1.0)  # the first list has come, and the watch is open
-            needs = await _played(sidecar, server, worker, caller, names, size, seconds)
+            await asyncio.sleep(SETTLE_S)
+            needs = await _play(_Day(endpoints, clients, sidecar, server), addresses, size, seconds)
         await server.stop()
         return needs
 
 
-async def _played(
-    sidecar: Sidecar,
-    server: DiscoveryServer,
-    worker: Worker,
-    caller: Worker,
-    names: dict[str, str],
-    size: int,
-    seconds: float,
-) -> Needs:
-    sampler = Sampler(sidecar.pid)
+async def _play(day: _Day, addresses: dict[str, str], size: int, seconds: float) -> Needs:
+    sidecar, statistics = day.sidecar, day.server.statistics
+    sampler = DescriptorSampler(sidecar.pid)
     sampling = asyncio.create_task(sampler.run())
-    cpu_before, bytes_before = sidecar.runtime_s(), server.figures.bytes_out
-    job = clients.Job([clients.Target("via", [sidecar.address], CALLS_PER_S)], seconds, 1)
-    result, _ = await asyncio.gather(
-        caller.ask(job, seconds + 20), replace_half(server, names, size, seconds - 1)
+    cpu_before_s, bytes_before = sidecar.runtime_s(), statistics.bytes_out
+    load = LoadRequest([LoadTarget("via", [sidecar.address], REQUESTS_PER_S)], seconds, 1)
+    reply, _ = await asyncio.gather(
+        day.clients.request(load, seconds + EXTRA_S),
+        replace_half(day.server, addresses, size, seconds - 1),
     )
     sampling.cancel()
-    (stream,) = result["streams"]
-    counts = (await worker.ask(endpoint.Count()))["counts"]
+    result = msgspec.convert(reply, LoadResult)
+    (stream,) = result.streams
     return Needs(
         endpoints=size,
-        cpu_s=sidecar.runtime_s() - cpu_before,
-        peak_memory_bytes=sampler.peak_memory_bytes(),
-        descriptors=sampler.descriptors,
-        connections=int(counts.get("connections", 0)),
-        list_bytes=server.figures.bytes_out - bytes_before,
-        share_served=stream["served"] / max(1, stream["planned"]),
-        held=bool(result["held"]),
+        connections=await read_counter(day.endpoints, EndpointCounter.CONNECTIONS),
+        cpu_s=sidecar.runtime_s() - cpu_before_s,
+        peak_memory_bytes=read_peak_memory_bytes(sidecar.pid),
+        descriptors=sampler.most,
+        list_bytes=statistics.bytes_out - bytes_before,
+        share_served=stream.served / max(1, stream.planned),
+        valid=result.sustained,
     )
 
 
-async def compare(usual_size: int, large_size: int, seconds: float) -> tuple[Needs, Needs]:
-    """Both sizes, one after the other."""
+async def measure_both(usual_size: int, large_size: int, seconds: float) -> tuple[Needs, Needs]:
+    """Measure both sizes, one after the other."""
     return await measure(usual_size, seconds), await measure(large_size, seconds)
 
 
@@ -185,17 +221,17 @@
     records: Annotated[Path, typer.Option(help="where the measurement is kept")] = Path("records"),
 ) -> None:
     """Measure both sizes, print each row with its limit, and keep them as one line of JSON."""
-    few, many = asyncio.run(compare(usual, large, seconds))
-    found = rows(few, many)
+    few, many = asyncio.run(measure_both(usual, large, seconds))
+    rows = compare_needs(few, many)
     stamp = datetime.now(UTC).strftime("%Y%m%dT%H%M%S")
-    kept = {"usual": few, "large": many, "rows": found}
-    (records / f"growth-{stamp}.jsonl").write_bytes(msgspec.json.encode(kept) + b"\n")
-    table = Table("need", str(usual), str(large), "limit", "held")
-    for row in found:
-        held = "held" if row.held else "NOT HELD"
-        table.add_row(row.need, f"{row.usual:.3f}", f"{row.large:.3f}", f"{row.limit:.3f}", held)
-    Console(width=100).print(table)
-    if not (few.held and many.held):
-        print("the clients did not keep their rate: this run counts for nothing")
-        raise typer.Exit(2)
-    raise typer.Exit(0 if all(row.held for row in found) else 1)
+    record = {"usual": few, "large": many, "rows": rows}
+    (records / f"growth-{stamp}.jsonl").write_bytes(msgspec.json.encode(record) + b"\n")
+    table = Table("need", str(usual), str(large), "limit", "within")
+    for row in rows:
+        within = "yes" if row.within_limit else "NO"
+        table.add_row(row.need, f"{row.usual:.3f}", f"{row.large:.3f}", f"{row.limit:.3f}", within)
+    Console(width=TABLE_WIDTH).print(table)
+    if not (few.valid and many.valid):
+        print("the clients did not sustain their rate: this run counts for nothing")
+        raise typer.Exit(EXIT_INVALID)
+    raise typer.Exit(0 if all(row.within_limit for row in rows) else EXIT_LIMIT)
--- /dev/null
+++ b/emulator/overloaded_discovery/command.py
@@ -0,0 +1,42 @@
+"""`python -m emulator overload`: plays a scenario with several seeds and sums up how late sidecars were."""
+
+from __future__ import annotations
+
+from typing import Annotated
+
+import typer
+
+from emulator.overloaded_discovery.scenario import MS, OverloadResult, OverloadScenario, S
+from emulator.overloaded_discovery.simulation import Simulation
+
+app = typer.Typer(add_completion=False)
+
+
+@app.callback(invoke_without_command=True)
+def overload(
+    sidecars: Annotated[int, typer.Option(help="of all tiers: discovery is one service")] = 7,
+    cost_ms: Annotated[float, typer.Option(help="what a poll costs discovery")] = 280.0,
+    capacity: Annotated[int, typer.Option("--capacity", "--room", help="polls that may wait")] = 1,
+    lost: Annotated[float, typer.Option(help="share of responses that are lost")] = 0.0,
+    seeds: Annotated[int, typer.Option(help="how many, from 1 on")] = 20,
+) -> None:
+    """Moves and changes at an overloaded discovery: how late sidecars know them, by a simulated clock."""
+    scenarios = [
+        OverloadScenario(sidecars, int(cost_ms * MS), capacity, lost, seed=seed)
+        for seed in range(1, seeds + 1)
+    ]
+    results = [Simulation(scenario).play() for scenario in scenarios]
+    played = f"{sidecars} sidecars, {cost_ms:g} ms a poll, capacity {capacity}, {lost:.0%} lost"
+    print(f"{played}: {_summary(results)}")
+
+
+def _summary(results: list[OverloadResult]) -> str:
+    delays_us = sorted(delay_us for result in results for delay_us in result.delays_us)
+    late = sum(result.late for result in results)
+    late_seeds = sum(result.late > 0 for result in results)
+    longest_s, p99_s = delays_us[-1] / S, delays_us[int(0.99 * len(delays_us))] / S
+    polls, rejected = sum(result.polls for result in results), sum(result.rejected for result in results)
+    return (
+        f"{late_seeds} of {len(results)} seeds late, {late} of {len(delays_us)} changes;"
+        f" longest {longest_s:.1f} s, 99th {p99_s:.1f} s; {polls} polls, {rejected} rejected"
+    )
--- /dev/null
+++ b/emulator/scenario/random_streams.py
@@ -0,0 +1,11 @@
+"""Random numbers by purpose."""
+
+from __future__ import annotations
+
+import numpy as np
+
+
+def random_stream(seed: int, *purpose: str | int) -> np.random.Generator:
+    """Return random numbers for one purpose: drawing more for one changes nothing for another."""
+    words = [seed, *(byte for part in purpose for byte in [*str(part).encode(), 0])]
+    return np.random.Generator(np.random.PCG64(np.random.SeedSequence(words)))
--- a/emulator/sidecar.py
+++ b/emulator/sidecar.py
@@ -1,26 +1,29 @@
-"""A real sidecar as a process of its own, and what the kernel says it spends."""
+"""A real sidecar as a process of its own, and what it spends."""
 
 from __future__ import annotations
 
 import asyncio
 import json
-import os
 import signal
 import socket
 import sys
 import tempfile
 from pathlib import Path
-from typing import Any, NamedTuple, Self
+from typing import Any, Self
 
-from emulator.worker import ROOT
+from emulator.errors import SidecarStartError
+from emulator.process_usage import ProcessUsage, read_runtime_s, read_usage
+from testbed.discovery_wire import endpoint_list, endpoint_row
+from testbed.environment import ROOT, sidecar_environment
 
-VARIABLE = "EMULATOR_BREAKDOWN"  # names the file of `emulator.breakdown`
+BREAKDOWN_VARIABLE = "EMULATOR_BREAKDOWN"  # names the file that `emulator.breakdown` writes
 READY_S = 10.0  # a sidecar that doesn't answer `/up` by then has failed
-POLL_S = 0.02
-TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+CHECK_S = 0.02
+LOG_TAIL_CHARACTERS = 500
+NO_DISCOVERY = "127.0.0.1:1"  # nobody listens there
+UP_RESPONSE_BYTES = 64  # enough for the status line
 
-# One class that is safe to repeat: the plainest call. A copy is one of 36 callers, as the services of the
-# target size are.
+# One idempotent class: the plainest request. The sidecar is one of 36, as at the target size.
 SETTINGS: dict[str, Any] = {
     "Categories": [
         {
@@ -32,7 +35,7 @@
         }
     ],
     "Allowed": {"MaxAttempts": 3, "MayCancel": True, "ConnIdleUs": 60_000_000},
-    # With a quota that no load here reaches: a caller without one is refused once its latencies vary.
+    # With a quota that no load here reaches: a tenant without one is rejected once its latencies vary.
     "Parties": [{"Name": "acme", "Share": 1.0, "QuotaPerS": 360_000.0}],
     "Discovery": "push",
     "Balancers": 36,
@@ -41,68 +44,10 @@
 }
 
 
-class SidecarError(Exception):
-    """A sidecar that didn't come up, with the end of its log."""
-
-
-class Usage(NamedTuple):
-    """What a process has spent so far, and holds now; the kernel counts processor time in hundredths."""
-
-    user_s: float
-    system_s: float
-    rss_bytes: int
-    pss_bytes: int
-
-    @property
-    def cpu_s(self) -> float:
-        return self.user_s + self.system_s
-
-
-def _kib(text: str, name: str) -> int:
-    line = next(line for line in text.splitlines() if line.startswith(name + ":"))
-    return int(line.split()[1]) * 1024
-
-
-def usage(pid: int) -> Usage:
-    """Read `/proc`: seconds and bytes. OSError: the process has ended."""
-    folder = Path("/proc") / str(pid)
-    fields = (folder / "stat").read_text().rpartition(")")[2].split()
-    memory = (folder / "smaps_rollup").read_text()
-    return Usage(
-        int(fields[11]) / TICKS_PER_S,
-        int(fields[12]) / TICKS_PER_S,
-        _kib(memory, "Rss"),
-        _kib(memory, "Pss"),
-    )
-
-
-def runtime_s(pid: int) -> float:
-    """The processor time so far in seconds, from the scheduler's own clock in nanoseconds."""
-    return int((Path("/proc") / str(pid) / "schedstat").read_text().split()[0]) / 1e9
-
-
-def entry(name: str, address: str, zone: str = "z0", lifecycle: str = "ready") -> dict[str, Any]:
-    """One endpoint in discovery's form."""
-    return {
-        "instanceId": name,
-        "hostPort": address,
-        "zone": zone,
-        "machineType": "m",
-        "cell": 0,
-        "lifecycle": lifecycle,
-        "weight": 1.0,
-        "startedAtMs": 0,
-    }
-
-
-def listing(generation: int, reset: bool, rows: list[dict[str, Any]]) -> dict[str, Any]:
-    return {"generation": generation, "reset": reset, "instances": rows}
-
-
 def free_port() -> int:
-    """A loopback port that is free now."""
-    with socket.create_server(("127.0.0.1", 0)) as found:
-        port: int = found.getsockname()[1]
+    """Return a loopback port that is free now, of those that outgoing connections may get too."""
+    with socket.create_server(("127.0.0.1", 0)) as server:
+        port: int = server.getsockname()[1]
         return port
 
 
@@ -114,7 +59,7 @@
         return False
     try:
         writer.write(b"GET /up HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
-        head = await reader.read(64)
+        head = await reader.read(UP_RESPONSE_BYTES)
         return head.startswith(b"HTTP/1.1 200")
     except OSError:
         return False
@@ -123,80 +68,97 @@
 
 
 class Sidecar:
-    """Starts a sidecar on these endpoints (name to address), and kills it when the context is left."""
+    """Starts a sidecar when the context is entered, and kills it when it is left.
+
+    Args:
+        endpoints: the addresses of its endpoints by name.
+        discovery: the address of its discovery.
+        module: what runs in place of the program in service.
+        settings: what differs from SETTINGS, with the keys of the protocol.
+    """
 
     def __init__(
         self,
         endpoints: dict[str, str],
-        discovery: str = "127.0.0.1:1",
+        discovery: str = NO_DISCOVERY,
         module: str = "corkdoor.sidecar",
         **settings: Any,
     ) -> None:
         self.port = free_port()
         self.address = f"127.0.0.1:{self.port}"
         self.module = module
-        rows = [entry(name, address) for name, address in endpoints.items()]
+        rows = [endpoint_row(name, address) for name, address in endpoints.items()]
         self.document = {
             "name": "n0",
             "listen": self.address,
             "discovery": discovery,
             "seed": "8c1f30d27a5be964",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 4096},
-            "known": listing(1, True, rows),
+            "known": endpoint_list(1, True, rows),
             "settings": {**SETTINGS, **settings},
         }
 
     async def __aenter__(self) -> Self:
-        self.folder = tempfile.TemporaryDirectory()
-        folder = Path(self.folder.name)
-        (folder / "config.json").write_text(json.dumps(self.document), encoding="utf-8")
-        self.log = folder / "log"
-        self.figures = folder / "figures.json"
-        environ = {k: v for k, v in os.environ.items() if not k.startswith("GW_")}
-        with self.log.open("wb") as sink:
+        self._temporary = tempfile.TemporaryDirectory()
+        folder = Path(self._temporary.name)
+        self._breakdown_path = folder / "figures.json"
+        log_path = folder / "log"
+        await self._spawn(folder / "config.json", log_path)
+        self.pid = self.process.pid
+        try:
+            await asyncio.wait_for(self._until_ready(), READY_S)
+        except (TimeoutError, ProcessLookupError):
+            log_tail = log_path.read_text(errors="replace")[-LOG_TAIL_CHARACTERS:]
+            await self.__aexit__()
+            raise SidecarStartError(log_tail) from None
+        return self
+
+    async def _spawn(self, config_path: Path, log_path: Path) -> None:
+        config_path.write_text(json.dumps(self.document), encoding="utf-8")
+        environment = sidecar_environment(config_path)
+        environment[BREAKDOWN_VARIABLE] = str(self._breakdown_path)
+        with log_path.open("wb") as log:
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-B",
                 "-m",
                 self.module,
-                env={**environ, "GW_CONFIG": str(folder / "config.json"), VARIABLE: str(self.figures)},
+                env=environment,
                 stdin=asyncio.subprocess.DEVNULL,
-                stderr=sink,
+                stderr=log,
                 cwd=ROOT,
             )
-        self.pid = self.process.pid
-        try:
-            await asyncio.wait_for(self._ready(), READY_S)
-        except (TimeoutError, SidecarError):
-            tail = self.log.read_text(errors="replace")[-500:]
-            await self.__aexit__()
-            raise SidecarError(f"it isn't up: {tail}") from None
-        return self
 
-    async def _ready(self) -> None:
+    async def _until_ready(self) -> None:
         while not await is_up(self.port):
             if self.process.returncode is not None:
-                raise SidecarError("it ended")
-            await asyncio.sleep(POLL_S)
+                raise ProcessLookupError(self.pid)
+            await asyncio.sleep(CHECK_S)
 
     async def __aexit__(self, *_: object) -> None:
         if self.process.returncode is None:
             self.process.kill()
         await self.process.wait()
-        self.folder.cleanup()
+        self._temporary.cleanup()
 
-    def usage(self) -> Usage:
-        return usage(self.pid)
+    def usage(self) -> ProcessUsage:
+        """Return its processor time in seconds and its memory in bytes."""
+        return read_usage(self.pid)
 
     def runtime_s(self) -> float:
-        return runtime_s(self.pid)
+        """Return its processor time in seconds, by the scheduler's clock."""
+        return read_runtime_s(self.pid)
 
     async def breakdown(self) -> dict[str, Any]:
-        """The figures of `emulator.breakdown`, where that module runs. TimeoutError: none came."""
-        self.figures.unlink(missing_ok=True)
+        """Return what `emulator.breakdown` has measured, where that module runs.
+
+        Raises:
+            TimeoutError: it wrote nothing in time.
+        """
+        self._breakdown_path.unlink(missing_ok=True)
         self.process.send_signal(signal.SIGUSR1)
         async with asyncio.timeout(READY_S):
-            while not self.figures.exists():
-                await asyncio.sleep(POLL_S)
-        found: dict[str, Any] = json.loads(self.figures.read_text())
+            while not self._breakdown_path.exists():
+                await asyncio.sleep(CHECK_S)
+        found: dict[str, Any] = json.loads(self._breakdown_path.read_text(encoding="utf-8"))
         return found
--- /dev/null
+++ b/emulator/simulated_sidecars/load.py
@@ -0,0 +1,81 @@
+"""Synthetic requests at drawn times, for all sidecars of one process."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from collections.abc import Callable
+
+import numpy as np
+
+from emulator.scenario.document import Load
+
+DRAWN_AT_ONCE = 4096  # random numbers
+MS_PER_S = 1000
+
+
+class ServiceTimes:
+    """Lognormal service times whose mean is as stated.
+
+    Args:
+        load: the mean, and the deviation of the logarithm.
+        rng: its own random numbers.
+    """
+
+    def __init__(self, load: Load, rng: np.random.Generator) -> None:
+        self.sigma = load.service_sigma
+        self.mu = np.log(load.service_ms / MS_PER_S) - load.service_sigma**2 / 2
+        self.rng = rng
+        self._drawn_s: list[float] = []
+
+    def draw_s(self) -> float:
+        """Draw a service time in seconds."""
+        if not self._drawn_s:
+            self._drawn_s = self.rng.lognormal(self.mu, self.sigma, DRAWN_AT_ONCE).tolist()
+        return self._drawn_s.pop()
+
+
+class RequestLoad:
+    """One stream of arrivals for all sidecars: many Poisson streams make one at the sum of their rates.
+
+    Args:
+        rng: its own random numbers.
+        sidecars: how many there are.
+        send: called with the index of the sidecar that a request goes to.
+        note_lateness: called with how late each request is, in seconds.
+    """
+
+    def __init__(
+        self,
+        rng: np.random.Generator,
+        sidecars: int,
+        send: Callable[[int], None],
+        note_lateness: Callable[[float], None],
+    ) -> None:
+        self.rng = rng
+        self.sidecars = sidecars
+        self.send = send
+        self.note_lateness = note_lateness
+        self._requests_per_s = 0.0
+        self._task: asyncio.Task[None] | None = None
+
+    def set_rate(self, requests_per_s: float) -> None:
+        """Set the requests a second of each sidecar; 0 ends the load."""
+        self._requests_per_s = requests_per_s
+        if self._task is not None:
+            self._task.cancel()
+            self._task = None
+        if requests_per_s > 0:
+            self._task = asyncio.get_running_loop().create_task(self._run())
+
+    async def _run(self) -> None:
+        """Send each request when it is due by the clock: a slow loop must not slow its own load."""
+        due_s = time.monotonic()
+        while True:
+            gaps = self.rng.exponential(1.0, DRAWN_AT_ONCE).tolist()
+            picks = self.rng.random(DRAWN_AT_ONCE).tolist()
+            for gap, pick in zip(gaps, picks, strict=True):
+                due_s += gap / (self._requests_per_s * self.sidecars)
+                await asyncio.sleep(max(0.0, due_s - time.monotonic()))
+                self.note_lateness(time.monotonic() - due_s)
+                self.send(int(pick * self.sidecars))
--- /dev/null
+++ b/emulator/simulated_sidecars/process.py
@@ -0,0 +1,195 @@
+"""The simulated sidecars of one process: their lifecycle, their load, and what they did."""
+
+from __future__ import annotations
+
+import asyncio
+import gc
+import os
+import time
+from collections import Counter
+from dataclasses import replace
+
+import msgspec
+from hdrh.histogram import HdrHistogram
+
+from corkdoor.settings_reader import read_settings
+from corkdoor.sidecar.bounds import Bounds
+from corkdoor.sidecar.config import Address, Config
+from corkdoor.sidecar.discovery import EndpointList, read_endpoint_list
+from emulator.process_usage import read_resident_mb
+from emulator.scenario.random_streams import random_stream
+from emulator.scenario.sidecar_settings import settings_document
+from emulator.simulated_sidecars.load import RequestLoad, ServiceTimes
+from emulator.simulated_sidecars.messages import (
+    Command,
+    KillCommand,
+    LoadCommand,
+    Notification,
+    RequestOutcome,
+    Sample,
+    SampleCommand,
+    SettingsCommand,
+    SettingsInForce,
+    StartCommand,
+    WorkerConfig,
+)
+from emulator.simulated_sidecars.proxy import SimulatedProxy
+from emulator.worker import write_line
+from testbed.discovery_wire import endpoint_list
+
+BOUNDS = Bounds(clients=500, endpoints=400, held=1 << 24)
+SEED_BOUND = 1 << 62
+CLASS_NAMES = ("read", "hold", "pay")
+DEADLINE_US = 3_000_000
+MAX_LATENESS_US = 60_000_000
+SIGNIFICANT_DIGITS = 3  # of a lateness
+FREEZE_AFTER_S = 1.0  # once all sidecars have started
+
+
+class SimulatedProcess:
+    """All sidecars of this process.
+
+    Args:
+        config: what the process was started with.
+    """
+
+    def __init__(self, config: WorkerConfig) -> None:
+        self.config = config
+        self.initial_rss_mb = read_resident_mb(os.getpid())
+        self.proxies: dict[int, SimulatedProxy] = {}
+        self._sweeps: dict[int, asyncio.Task[None]] = {}
+        self._incarnations: Counter[int] = Counter()
+        # One object for all sidecars of a list, where each real one has its own.
+        self._lists: dict[str, EndpointList] = {
+            name: read_endpoint_list(endpoint_list(1, True, rows)) for name, rows in config.lists.items()
+        }
+        self._notifications: list[Notification] = []
+        self._in_force: list[SettingsInForce] = []
+        self._outcomes: Counter[RequestOutcome] = Counter()
+        self._requests = 0
+        self._lateness_us = HdrHistogram(1, MAX_LATENESS_US, SIGNIFICANT_DIGITS)
+        self._spreads = random_stream(config.seed, "spread", config.process)
+        self._service_times = ServiceTimes(config.load, random_stream(config.seed, "service", config.process))
+        arrivals = random_stream(config.seed, "arrivals", config.process)
+        self.load = RequestLoad(arrivals, len(config.sidecars), self._send_request, self.note_lateness)
+
+    # --- commands ---
+
+    def handle(self, command: Command) -> None:
+        """Carry out a command; those that are spread over a time go on after it."""
+        match command:
+            case StartCommand():
+                self._start_spread(command)
+            case KillCommand():
+                for number in command.sidecars:
+                    self.kill(number)
+            case LoadCommand():
+                self.load.set_rate(command.requests_per_s)
+            case SettingsCommand():
+                self._reload_spread(command)
+            case SampleCommand():
+                write_line(msgspec.json.encode(self.take_sample()))
+
+    def _start_spread(self, command: StartCommand) -> None:
+        loop = asyncio.get_running_loop()
+        for number in command.sidecars:
+            loop.call_later(float(self._spreads.uniform(0, command.spread_s)), self.start, number)
+        # As a real sidecar once it has started, but without the collection that it makes first: over hundreds
+        # of sidecars that would stall all of them.
+        loop.call_later(command.spread_s + FREEZE_AFTER_S, gc.freeze)
+
+    def _reload_spread(self, command: SettingsCommand) -> None:
+        """Let each sidecar read its new settings at a drawn time, as processes of their own would."""
+        loop = asyncio.get_running_loop()
+        for number in self.proxies:
+            delay_s = float(self._spreads.uniform(0, command.spread_s))
+            loop.call_later(delay_s, self._reload, number, command.revision)
+
+    def _reload(self, number: int, revision: int) -> None:
+        proxy = self.proxies.get(number)
+        if proxy is None:
+            return
+        config = self._sidecar_config(number, revision)
+        proxy.reload(replace(config, digest=str(revision)))
+        if proxy.settings == config.settings == proxy.balancer.settings:
+            self._in_force.append(SettingsInForce(number, revision, time.monotonic_ns()))
+
+    # --- sidecars ---
+
+    def start(self, number: int) -> None:
+        """Start a sidecar anew."""
+        self._incarnations[number] += 1
+        proxy = SimulatedProxy(self._sidecar_config(number), number, self)
+        self.proxies[number] = proxy
+        self._sweeps[number] = asyncio.get_running_loop().create_task(proxy.upstream.sweep())
+        proxy.start()
+
+    def kill(self, number: int) -> None:
+        """Kill a sidecar, if it runs."""
+        proxy = self.proxies.pop(number, None)
+        if proxy is not None:
+            proxy.kill()
+            self._sweeps.pop(number).cancel()
+
+    def _sidecar_config(self, number: int, revision: int = 0) -> Config:
+        config = self.config
+        sidecar = config.sidecars[number - config.first]
+        host, _, port = config.discovery[sidecar.service].rpartition(":")
+        count = config.balancers[sidecar.service]
+        document = settings_document(sidecar, count, config.depth, config.mode, revision)
+        rng = random_stream(config.seed, "sidecar", number, self._incarnations[number])
+        return Config(
+            name=sidecar.name,
+            listen=Address("127.0.0.1", 0),
+            discovery=Address(host, int(port)),
+            seed=int(rng.integers(SEED_BOUND)),
+            bounds=BOUNDS,
+            known=self._lists[sidecar.service],
+            settings=read_settings(document),
+        )
+
+    def _send_request(self, index: int) -> None:
+        proxy = self.proxies.get(self.config.first + index)
+        if proxy is not None:  # nobody calls a sidecar that does not run
+            self._requests += 1
+            class_name = CLASS_NAMES[self._requests % len(CLASS_NAMES)]
+            proxy.request(f"{self._requests:x}", class_name, DEADLINE_US)
+
+    # --- what the sidecars report ---
+
+    def draw_service_s(self) -> float:
+        """Draw the service time of an attempt in seconds."""
+        return self._service_times.draw_s()
+
+    def note_list(self, sidecar: int, generation: int) -> None:
+        """Note a list or changes that a sidecar has applied."""
+        self._notifications.append(Notification(sidecar, generation, time.monotonic_ns()))
+
+    def note_outcome(self, outcome: RequestOutcome) -> None:
+        """Count a synthetic request that is over."""
+        self._outcomes[outcome] += 1
+
+    def note_lateness(self, seconds: float) -> None:
+        """Note how late the event loop, or a request, was."""
+        self._lateness_us.record_value(max(1, int(seconds * 1e6)))
+
+    def take_sample(self) -> Sample:
+        """Return what was done, and begin the next stretch of lateness and notifications."""
+        used = os.times()
+        lateness_us = self._lateness_us
+        sample = Sample(
+            process=self.config.process,
+            cpu_s=used.user + used.system,
+            rss_mb=read_resident_mb(os.getpid()),
+            initial_rss_mb=self.initial_rss_mb,
+            running=len(self.proxies),
+            requests=self._requests,
+            outcomes={outcome.value: count for outcome, count in self._outcomes.items()},
+            lateness_p99_ms=lateness_us.get_value_at_percentile(99) / 1000,
+            lateness_max_ms=lateness_us.get_max_value() / 1000,
+            notifications=self._notifications,
+            in_force=self._in_force,
+        )
+        self._notifications, self._in_force = [], []
+        lateness_us.reset()
+        return sample
--- a/emulator/fit.py
+++ b/emulator/slopes/fitting.py
@@ -8,7 +8,10 @@
 
 import numpy as np
 
+from emulator.errors import FitError
+
 LEAST_POINTS = 3  # two points lie on a line whatever they are
+COEFFICIENTS = 2  # that a line has: the degrees of freedom that it takes
 
 
 class Line(NamedTuple):
@@ -24,35 +27,39 @@
     furthest: float  # largest x measured
 
     def at(self, x: float) -> float:
-        """The line's figure at this x."""
+        """Return the line's figure at this x."""
         return self.intercept + self.slope * x
 
     def error_at(self, x: float) -> float:
-        """An upper bound on the standard error of `at`: those of both coefficients, taken as if alike."""
+        """Return an upper bound on the standard error of `at`: the errors of both coefficients added up."""
         return self.intercept_error + self.slope_error * abs(x)
 
 
 def fit(x: Sequence[float], y: Sequence[float]) -> Line:
-    """Fit a line. ValueError: fewer than three points, or all at one x."""
+    """Fit a line.
+
+    Raises:
+        FitError: fewer than three points, or all at one x.
+    """
     if len(x) != len(y) or len(x) < LEAST_POINTS:
-        raise ValueError(f"{LEAST_POINTS} points or more are needed, {len(x)} and {len(y)} came")
+        raise FitError(f"{LEAST_POINTS} points or more are needed, {len(x)} and {len(y)} came")
     across, up = np.asarray(x, dtype=float), np.asarray(y, dtype=float)
     centre = float(across.mean())
     spread = float(((across - centre) ** 2).sum())
     if spread == 0:
-        raise ValueError("all points lie at one x")
+        raise FitError("all points lie at one x")
     slope = float(((across - centre) * (up - up.mean())).sum()) / spread
     intercept = float(up.mean()) - slope * centre
-    left = float(((up - intercept - slope * across) ** 2).sum())
+    unexplained = float(((up - intercept - slope * across) ** 2).sum())
     total = float(((up - up.mean()) ** 2).sum())
-    variance = left / (len(x) - 2)
+    variance = unexplained / (len(x) - COEFFICIENTS)
     return Line(
-        slope,
-        intercept,
-        math.sqrt(variance / spread),
-        math.sqrt(variance * (1 / len(x) + centre**2 / spread)),
-        math.sqrt(variance),
-        1 - left / total if total else 1.0,
-        len(x),
-        float(across.max()),
+        slope=slope,
+        intercept=intercept,
+        slope_error=math.sqrt(variance / spread),
+        intercept_error=math.sqrt(variance * (1 / len(x) + centre**2 / spread)),
+        residual=math.sqrt(variance),
+        r2=1 - unexplained / total if total else 1.0,
+        points=len(x),
+        furthest=float(across.max()),
     )
--- /dev/null
+++ b/emulator/slopes/list_bench.py
@@ -0,0 +1,64 @@
+"""Times the reading and taking of endpoint lists in this process."""
+
+from __future__ import annotations
+
+import itertools
+import json
+from typing import NamedTuple
+
+from corkdoor.model import WatchEventKind
+from corkdoor.settings_reader import read_settings
+from corkdoor.sidecar.bounds import Bounds
+from corkdoor.sidecar.clock import now_us
+from corkdoor.sidecar.config import Address, Config
+from corkdoor.sidecar.discovery import read_endpoint_list
+from corkdoor.sidecar.proxy import Proxy
+from emulator.sidecar import SETTINGS
+from emulator.slopes.fixtures import ListForm, list_bodies, make_rows
+from emulator.slopes.timing import mean_us
+from testbed.discovery_wire import endpoint_list
+
+NOWHERE = Address("127.0.0.1", 1)
+BOUNDS = Bounds(500, 400, 1 << 24)
+SEED = 7
+ROUNDS, REPEATS = 5, 10
+
+
+class ListCost(NamedTuple):
+    """Microseconds to read a list and to take it, and the bytes of its body."""
+
+    parse_us: float
+    take_us: float
+    body_bytes: int
+
+
+class ListBench:
+    """A proxy without sockets on so many endpoints; must be made while an event loop runs.
+
+    Args:
+        endpoints: of the list.
+    """
+
+    def __init__(self, endpoints: int) -> None:
+        self.endpoints = endpoints
+        initial = read_endpoint_list(endpoint_list(1, True, make_rows(endpoints)))
+        config = Config("n0", NOWHERE, NOWHERE, SEED, BOUNDS, initial, read_settings(SETTINGS))
+        self.proxy = Proxy(config)
+        self.proxy.balancer.start(now_us())
+        self.proxy.on_list(WatchEventKind.CACHED, initial.entries)
+
+    def measure(self, form: ListForm) -> ListCost:
+        """Return the cost of a response of that form."""
+        event = WatchEventKind.FULL if form is ListForm.FULL else WatchEventKind.DELTA
+        bodies = list_bodies(form, self.endpoints)
+        lists = itertools.cycle([read_endpoint_list(json.loads(body)) for body in bodies])
+
+        def parse() -> None:
+            read_endpoint_list(json.loads(bodies[0]))
+
+        def take() -> None:
+            self.proxy.on_list(event, next(lists).entries)
+
+        parse_us = mean_us(ROUNDS, REPEATS, parse)
+        take_us = mean_us(ROUNDS, REPEATS, take)
+        return ListCost(parse_us, take_us, len(bodies[0]))
--- a/faults/preload.py
+++ b/faults/preload.py
@@ -73,7 +73,7 @@
 
 
 class FaultControl:
-    """The shared memory by which one process is told its faults."""
+    """The shared memory that controls the faults of one process."""
 
     def __init__(self, path: Path, seed: int = 1) -> None:
         self.path = path
@@ -116,7 +116,7 @@
         RANDOM.pack_into(self._memory, place + RANDOM_PLACE, per_million)
 
     def hits(self, call: SystemCall) -> int:
-        """How many calls of a kind have failed or been shortened so far."""
+        """Return how many calls of a kind have failed or been shortened so far."""
         return int(RANDOM.unpack_from(self._memory, self._place(call) + HITS_PLACE)[0])
 
     def close(self) -> None:
--- a/faults/sidecar_process.py
+++ b/faults/sidecar_process.py
@@ -172,7 +172,7 @@
 
 
 def describe_process(process: asyncio.subprocess.Process) -> str:
-    """Return what the kernel tells of a process: state, where it waits, descriptors, or how it ended."""
+    """Return what the kernel reports of a process: state, where it waits, descriptors, or how it ended."""
     if process.returncode is not None:
         return f"ended with {process.returncode}"
     folder = Path(f"/proc/{process.pid}")
--- a/testbed/discovery_wire.py
+++ b/testbed/discovery_wire.py
@@ -15,7 +15,7 @@
 class Poll(NamedTuple):
     """One request for an endpoint list; a watch where it names a generation and may wait."""
 
-    after: int | None  # the generation that the sidecar has; None: it asks for the full list
+    after: int | None  # the generation that the sidecar has; None: it polls for the full list
     wait_s: float
 
 
--- a/tests/test_crowded_discovery.py
+++ b/tests/test_crowded_discovery.py
@@ -29,7 +29,8 @@
     WatchWaits,
 )
 from corkdoor.settings import LifecycleRules
-from emulator.crowded_discovery import Fleet, Scenario
+from emulator.overloaded_discovery.scenario import OverloadScenario
+from emulator.overloaded_discovery.simulation import Simulation
 from tests.sidecar_support import Sidecar, listing, row, run
 from tests.support import MS, Host, S, endpoints, settings
 
@@ -152,21 +153,21 @@
 ) -> None:
     """All calls together take 2 s; some sidecars were turned away at once for up to 24 s (docs/incidents)."""
     for seed in range(1, 4):
-        scenario = Scenario(sidecars, cost_ms * MS, room, length_us=50 * S, seed=seed)
-        figures = Fleet(scenario).play()
-        assert figures.refused > 10
-        assert figures.over == 0, f"seed {seed}: {max(figures.late_us) / S:.1f} s"
+        scenario = OverloadScenario(sidecars, cost_ms * MS, room, length_us=50 * S, seed=seed)
+        figures = Simulation(scenario).play()
+        assert figures.rejected > 10
+        assert figures.late == 0, f"seed {seed}: {max(figures.delays_us) / S:.1f} s"
 
 
 @pytest.mark.parametrize(("sidecars", "cost_ms"), [(4, 250), (7, 150)])
 def test_where_three_in_ten_answers_are_lost_few_changes_are_known_late(sidecars: int, cost_ms: int) -> None:
     """With watches of 4 s after each failure 7 and 8% were late, found only when the next wait was over."""
     plays = [
-        Fleet(Scenario(sidecars, cost_ms * MS, room=1, lost_share=0.3, seed=seed)).play()
+        Simulation(OverloadScenario(sidecars, cost_ms * MS, capacity=1, lost_share=0.3, seed=seed)).play()
         for seed in range(1, 16)
     ]
-    changes = sum(len(figures.late_us) for figures in plays)
-    assert sum(figures.over for figures in plays) <= 0.03 * changes
+    changes = sum(len(figures.delays_us) for figures in plays)
+    assert sum(figures.late for figures in plays) <= 0.03 * changes
 
 
 def test_waits_of_watches_grow_and_are_short_after_failures() -> None:
--- a/tests/test_emulator_discovery.py
+++ b/tests/test_emulator_discovery.py
@@ -1,4 +1,4 @@
-"""The stand-in for discovery: its lists, its queue, and its server against the sidecar's real client."""
+"""The emulated discovery: its lists, its queue, and its server against the sidecar's real client."""
 
 from __future__ import annotations
 
@@ -14,18 +14,22 @@
 
 from corkdoor.model import WatchEventKind
 from corkdoor.sidecar.discovery import CONNECT_S, DiscoveryWatcher, ResolvedEndpoint
-from emulator.discovery import LOG_KEPT, Cost, DiscoveryServer, Registry, SerialQueue, read_call
+from emulator.discovery.connection import read_poll
+from emulator.discovery.registry import CHANGE_LOG_ROWS, Registry
+from emulator.discovery.server import DiscoveryServer, ServerMode
+from emulator.discovery.service_queue import ServiceCost, ServiceQueue
+from emulator.discovery.statistics import PollForm
 from tests.sidecar_support import row, run
 
-FREE = Cost(call_us=0, byte_ns=0)
+FREE = ServiceCost(poll_us=0, byte_ns=0)
 
 
 def rows(count: int) -> list[dict[str, Any]]:
     return [row(f"s-{i}", "127.0.0.1:9") for i in range(count)]
 
 
-def told(registry: Registry, after: int | None) -> dict[str, Any]:
-    document: dict[str, Any] = json.loads(registry.answer("a", after).body)
+def response(registry: Registry, after: int | None) -> dict[str, Any]:
+    document: dict[str, Any] = json.loads(registry.respond("a", after).body)
     return document
 
 
@@ -34,28 +38,30 @@
 
 def test_a_whole_list_and_the_changes_after_a_generation() -> None:
     registry = Registry({"a": rows(2)})
-    first = told(registry, None)
+    first = response(registry, None)
     assert (first["generation"], first["reset"], len(first["instances"])) == (1, True, 2)
     registry.change("a", [row("s-1", "127.0.0.1:9", "draining")])
     registry.change("a", [row("s-1", "127.0.0.1:9", "gone")])
-    after = told(registry, 1)
+    after = response(registry, 1)
     assert (after["generation"], after["reset"]) == (3, False)
     assert [entry["lifecycle"] for entry in after["instances"]] == ["gone"]  # only its last state
-    assert [entry["instanceId"] for entry in told(registry, None)["instances"]] == ["s-0"]
-    assert told(registry, 3)["instances"] == []
+    assert [entry["instanceId"] for entry in response(registry, None)["instances"]] == ["s-0"]
+    assert response(registry, 3)["instances"] == []
 
 
 def test_generations_that_the_log_does_not_reach_get_the_whole_list() -> None:
     registry = Registry({"a": rows(1)})
-    for _ in range(LOG_KEPT + 1):
+    for _ in range(CHANGE_LOG_ROWS + 1):
         registry.change("a", rows(1))
-    assert told(registry, 1)["reset"]
-    assert not told(registry, registry.services["a"].generation - 1)["reset"]
-    assert told(registry, registry.services["a"].generation + 5)["reset"]  # of another life of discovery
+    assert response(registry, 1)["reset"]
+    assert not response(registry, registry.services["a"].generation - 1)["reset"]
+    assert response(registry, registry.services["a"].generation + 5)[
+        "reset"
+    ]  # of another incarnation of discovery
 
 
 class Watching(RuleBasedStateMachine):
-    """However it asks in between, who applies what it is told ends with the list as it is."""
+    """However it polls in between, who applies all responses ends with the list as it is."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -77,8 +83,8 @@
             self.registry.change("a", [row(f"s-{i % 4}", "127.0.0.1:9"), row("s-5", "127.0.0.1:9", "gone")])
 
     @rule(watcher=st.integers(0, 1))
-    def ask(self, watcher: int) -> None:
-        document = told(self.registry, self.generations[watcher])
+    def poll(self, watcher: int) -> None:
+        document = response(self.registry, self.generations[watcher])
         view = {} if document["reset"] else self.views[watcher]
         for entry in document["instances"]:
             view[entry["instanceId"]] = entry["lifecycle"]
@@ -96,12 +102,12 @@
 TestWatching = Watching.TestCase
 
 
-# --- the queue and the calls ---
+# --- the queue and the polls ---
 
 
 @given(st.lists(st.tuples(st.floats(0, 0.5), st.integers(0, 100_000)), min_size=1, max_size=60))
-def test_calls_are_worked_through_one_after_another(arrivals: list[tuple[float, int]]) -> None:
-    queue = SerialQueue(Cost(call_us=50_000, byte_ns=1_000, longest_wait_s=0.5))
+def test_polls_are_worked_through_one_after_another(arrivals: list[tuple[float, int]]) -> None:
+    queue = ServiceQueue(ServiceCost(poll_us=50_000, byte_ns=1_000, longest_wait_s=0.5))
     now, last = 0.0, 0.0
     for pause, size in arrivals:
         now += pause
@@ -110,11 +116,12 @@
             assert turn.done_s >= max(now, last) + 0.05 + size / 1e6 - 1e-9
             last = turn.done_s
         else:
-            assert last > now + 0.5 and turn.done_s == pytest.approx(now + 0.5)
+            assert last > now + 0.5
+            assert turn.done_s == pytest.approx(now + 0.5)
 
 
 def test_an_outage_drops_what_was_to_be_done() -> None:
-    queue = SerialQueue(Cost(call_us=1_000_000, byte_ns=0, longest_wait_s=10))
+    queue = ServiceQueue(ServiceCost(poll_us=1_000_000, byte_ns=0, longest_wait_s=10))
     for _ in range(4):
         queue.add(0.0, 0)
     queue.drop(1.5)
@@ -122,24 +129,27 @@
     assert queue.busy_s == pytest.approx(2.5)
 
 
-def test_calls_are_read_as_the_protocol_words_them() -> None:
-    watch = read_call(b"GET /discovery/hosts?after=41&wait_ms=20000 HTTP/1.1\r\nHost: a")
-    assert watch is not None and (watch.after, watch.wait_s) == (41, 20.0)
-    whole = read_call(b"GET /discovery/hosts HTTP/1.1")
-    assert whole is not None and whole.after is None
-    longest = read_call(b"GET /discovery/hosts?after=1&wait_ms=99000 HTTP/1.1")
-    assert longest is not None and longest.wait_s == 60.0
+def test_polls_are_read_as_the_protocol_words_them() -> None:
+    watch = read_poll(b"GET /discovery/hosts?after=41&wait_ms=20000 HTTP/1.1\r\nHost: a")
+    assert watch is not None
+    assert (watch.after, watch.wait_s) == (41, 20.0)
+    whole = read_poll(b"GET /discovery/hosts HTTP/1.1")
+    assert whole is not None
+    assert whole.after is None
+    longest = read_poll(b"GET /discovery/hosts?after=1&wait_ms=99000 HTTP/1.1")
+    assert longest is not None
+    assert longest.wait_s == 60.0
     for bad in (b"POST /discovery/hosts HTTP/1.1", b"GET /else HTTP/1.1", b"GET /discovery/hosts?after=x H"):
-        assert read_call(bad) is None
+        assert read_poll(bad) is None
 
 
 # --- the server and the real client ---
 
 
-class Told:
-    """A real watcher on the server, and what it delivered; one that persists asks again after failures.
+class Watch:
+    """A real watcher on the server, and what it delivered; one that persists polls again after failures.
 
-    When to ask again is for the module; here it is soon.
+    When to poll again is for the decision module; here it is soon.
     """
 
     def __init__(self, server: DiscoveryServer, generation: int, persist: bool = True) -> None:
@@ -159,7 +169,7 @@
         return form, [f"{listed.endpoint.id} {listed.endpoint.readiness.value}" for listed in entries]
 
 
-async def begun(cost: Cost = FREE) -> DiscoveryServer:
+async def started_server(cost: ServiceCost = FREE) -> DiscoveryServer:
     server = DiscoveryServer(Registry({"a": rows(2), "b": rows(1)}), cost)
     await server.start()
     return server
@@ -171,89 +181,90 @@
         await asyncio.sleep(0.005)
 
 
-def test_a_watch_is_told_the_whole_list_and_then_each_change() -> None:
+def test_a_watch_gets_the_full_list_and_then_each_change() -> None:
     async def test() -> None:
-        server = await begun()
-        told = Told(server, 0)  # ahead of nothing: generation 0 is older than the list's first
-        told.watcher.turn(True)
-        assert await told.next() == (WatchEventKind.FULL, ["s-0 ready", "s-1 ready"])
-        await until(lambda: server.figures.calls["watch"] == 2)
+        server = await started_server()
+        watch = Watch(server, 0)  # ahead of nothing: generation 0 is older than the list's first
+        watch.watcher.turn(True)
+        assert await watch.next() == (WatchEventKind.FULL, ["s-0 ready", "s-1 ready"])
+        await until(lambda: server.statistics.polls[PollForm.WATCH] == 2)
         server.change("b", [row("s-9", "127.0.0.1:9")])  # another service's: not ours to hear
         server.change("a", [row("s-1", "127.0.0.1:9", "draining")])
-        assert await told.next() == (WatchEventKind.DELTA, ["s-1 draining"])
-        assert told.watcher.generation == 2
-        told.watcher.turn(False)
+        assert await watch.next() == (WatchEventKind.DELTA, ["s-1 draining"])
+        assert watch.watcher.generation == 2
+        watch.watcher.turn(False)
         await server.stop()
 
     run(test())
 
 
-def test_after_an_outage_on_the_same_port_the_client_is_told_what_changed_meanwhile() -> None:
+def test_after_an_outage_on_the_same_port_the_client_gets_what_changed_meanwhile() -> None:
     async def test() -> None:
-        server = await begun()
-        told = Told(server, 1)
-        told.watcher.turn(True)
-        await until(lambda: server.figures.calls["watch"] == 1)
-        await server.outage(True)
-        await until(lambda: server.figures.open == 0)
+        server = await started_server()
+        watch = Watch(server, 1)
+        watch.watcher.turn(True)
+        await until(lambda: server.statistics.polls[PollForm.WATCH] == 1)
+        await server.set_mode(ServerMode.DOWN)
+        await until(lambda: server.statistics.open == 0)
         host, _, port = server.address("a").rpartition(":")
         with pytest.raises(ConnectionRefusedError):
             await asyncio.open_connection(host, int(port))
         server.change("a", [row("s-0", "127.0.0.1:9", "gone")])
-        await server.outage(False)
-        assert await told.next() == (WatchEventKind.DELTA, ["s-0 gone"])
-        told.watcher.turn(False)
+        await server.set_mode(ServerMode.SERVING)
+        assert await watch.next() == (WatchEventKind.DELTA, ["s-0 gone"])
+        watch.watcher.turn(False)
         await server.stop()
 
     run(test())
 
 
-def test_a_call_that_waited_too_long_is_answered_503_and_counted() -> None:
+def test_a_poll_that_waited_too_long_is_answered_503_and_counted() -> None:
     async def test() -> None:
-        server = await begun(Cost(call_us=300_000, byte_ns=0, longest_wait_s=0.1))
-        told = [Told(server, 0, persist=False) for _ in range(3)]
-        for one in told:
+        server = await started_server(ServiceCost(poll_us=300_000, byte_ns=0, longest_wait_s=0.1))
+        watches = [Watch(server, 0, persist=False) for _ in range(3)]
+        for one in watches:
             one.watcher.turn(True)
-        forms = [(await one.next())[0] for one in told]
-        assert forms.count(WatchEventKind.FULL) == 1 and forms.count(WatchEventKind.REJECTED) == 2
-        assert server.figures.calls["failed"] == 2
-        for one in told:
+        forms = [(await one.next())[0] for one in watches]
+        assert forms.count(WatchEventKind.FULL) == 1
+        assert forms.count(WatchEventKind.REJECTED) == 2
+        assert server.statistics.failed == 2
+        for one in watches:
             one.watcher.turn(False)
         await server.stop()
 
     run(test())
 
 
-def test_silence_accepts_calls_and_never_answers() -> None:
+def test_silence_accepts_polls_and_never_responds() -> None:
     async def test() -> None:
-        server = await begun()
-        server.silence(True)
-        told = Told(server, 0, persist=False)
-        told.watcher.turn(True)
-        await until(lambda: server.figures.calls["watch"] == 1)
-        server.silence(False)
+        server = await started_server()
+        await server.set_mode(ServerMode.SILENT)
+        watch = Watch(server, 0, persist=False)
+        watch.watcher.turn(True)
+        await until(lambda: server.statistics.polls[PollForm.WATCH] == 1)
+        await server.set_mode(ServerMode.SERVING)
         server.change("a", [row("s-0", "127.0.0.1:9", "gone")])
-        assert told.lists.empty()  # the call that came in the silence stays without an answer
-        told.watcher.turn(False)
+        assert watch.lists.empty()  # the poll that came in the silence stays without a response
+        watch.watcher.turn(False)
         await server.stop()
 
     run(test())
 
 
-def test_figures_count_calls_by_kind_bytes_and_seconds() -> None:
+def test_statistics_count_polls_by_form_bytes_and_seconds() -> None:
     async def test() -> None:
-        server = await begun()
+        server = await started_server()
         host, _, port = server.address("a").rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         for path in ("/discovery/hosts", "/discovery/hosts?after=1&wait_ms=1", "/else"):
             writer.write(f"GET {path} HTTP/1.1\r\nHost: a\r\n\r\n".encode())
             head = await reader.readuntil(b"\r\n\r\n")
             await reader.readexactly(int(head.rpartition(b"Content-Length: ")[2]))
-        figures = server.figures
-        assert (figures.calls["whole"], figures.calls["watch"], figures.calls["unknown"]) == (1, 1, 1)
-        whole = len(server.registry.answer("a", None).body)
-        assert figures.body_bytes["whole"] == whole < figures.bytes_out
-        assert sum(figures.per_second()) == 3 >= figures.peak >= 1
+        statistics = server.statistics
+        assert [statistics.polls[form] for form in PollForm] == [1, 1, 1]
+        whole = len(server.registry.respond("a", None).body)
+        assert statistics.full_list_bytes == whole < statistics.bytes_out
+        assert sum(statistics.per_second()) == 3 >= statistics.peak >= 1
         writer.close()
         await server.stop()
 
--- a/tests/test_emulator_growth.py
+++ b/tests/test_emulator_growth.py
@@ -6,14 +6,14 @@
 
 import pytest
 
-from emulator.growth import MEGABYTE, Needs, compare, rows
+from emulator.growth import MEGABYTE, Needs, compare_needs, measure_both
 
 USUAL = Needs(200, 1.0, 30 * MEGABYTE, 100, 110, 40 * 1024, 1.0, True)
 AT_THE_LIMIT = Needs(3200, 1.8039, int(65.8 * MEGABYTE), 240, 315, 1744 * 1024, 0.85, True)
 
 
-def test_each_need_is_held_at_its_limit() -> None:
-    assert [row.need for row in rows(USUAL, AT_THE_LIMIT) if not row.held] == []
+def test_each_need_at_its_limit_is_allowed() -> None:
+    assert [row.need for row in compare_needs(USUAL, AT_THE_LIMIT) if not row.within_limit] == []
 
 
 @pytest.mark.parametrize(
@@ -27,15 +27,18 @@
         ({"share_served": 0.84}, "share served"),
     ],
 )
-def test_each_need_past_its_limit_is_told(changed: dict[str, float], need: str) -> None:
+def test_each_need_past_its_limit_is_reported(changed: dict[str, float], need: str) -> None:
     large = Needs(**{**{name: getattr(AT_THE_LIMIT, name) for name in Needs.__struct_fields__}, **changed})
-    assert [row.need for row in rows(USUAL, large) if not row.held] == [need]
+    assert [row.need for row in compare_needs(USUAL, large) if not row.within_limit] == [need]
 
 
 def test_short_run_measures_both_sizes() -> None:
-    few, many = asyncio.run(compare(8, 32, 3.0))
+    few, many = asyncio.run(measure_both(8, 32, 3.0))
     assert (few.endpoints, many.endpoints) == (8, 32)
     for needs in (few, many):
         assert needs.share_served > 0.5
-        assert needs.cpu_s > 0 and needs.peak_memory_bytes > MEGABYTE
-        assert needs.connections > 0 and needs.list_bytes > 0 and needs.descriptors > 5
+        assert needs.cpu_s > 0
+        assert needs.peak_memory_bytes > MEGABYTE
+        assert needs.connections > 0
+        assert needs.list_bytes > 0
+        assert needs.descriptors > 5
--- a/tests/test_emulator_scenario.py
+++ b/tests/test_emulator_scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios: what is wrong with one is told in a line, and a seed makes each draw the same."""
+"""Scenarios: what is wrong with one is reported in a line, and a seed makes each draw the same."""
 
 from __future__ import annotations
 
@@ -10,19 +10,12 @@
 import msgspec
 import pytest
 
-from emulator.scenario import (
-    ChangeList,
-    Down,
-    Kill,
-    ScenarioError,
-    Start,
-    Window,
-    parse,
-    plan,
-    read,
-    settings_document,
-    stream,
-)
+from emulator.errors import ScenarioError
+from emulator.scenario.plan import ChangeList, KillSidecars, MeasureWindow, Plan, SetOutage, StartSidecars
+from emulator.scenario.planner import make_plan
+from emulator.scenario.random_streams import random_stream
+from emulator.scenario.reader import parse_scenario, read_scenario
+from emulator.scenario.sidecar_settings import settings_document
 
 SCENARIOS = sorted((Path(__file__).parent.parent / "emulator" / "scenarios").glob("*.toml"))
 LEAST: dict[str, Any] = {"name": "x", "seed": 1, "sizes": [72], "seconds": 60}
@@ -32,6 +25,10 @@
     return {**LEAST, "events": list(events), **changes}
 
 
+def planned(document: dict[str, Any], size: int) -> Plan:
+    return make_plan(parse_scenario(document), size)
+
+
 @pytest.mark.parametrize(
     ("document", "said"),
     [
@@ -75,9 +72,9 @@
         ),
     ],
 )
-def test_what_is_wrong_is_told_with_path_value_and_what_is_legal(document: dict[str, Any], said: str) -> None:
+def test_errors_name_path_value_and_what_is_legal(document: dict[str, Any], said: str) -> None:
     with pytest.raises(ScenarioError) as raised:
-        parse(document)
+        parse_scenario(document)
     assert str(raised.value).startswith(said)
     assert "\n" not in str(raised.value)
 
@@ -89,31 +86,33 @@
         ("a = ", "no TOML"),
     ],
 )
-def test_the_command_tells_it_in_one_line_and_exits_1(tmp_path: Path, text: str, said: str) -> None:
+def test_the_command_prints_the_error_in_one_line_and_exits_1(tmp_path: Path, text: str, said: str) -> None:
     path = tmp_path / "bad.toml"
     path.write_text(text, encoding="utf-8")
     done = subprocess.run(
         [sys.executable, "-m", "emulator", "run", str(path)], capture_output=True, text=True, timeout=60
     )
     assert done.returncode == 1
-    assert done.stderr.count("\n") == 1 and done.stderr.startswith(f"fleet: {path}: {said}")
+    assert done.stderr.count("\n") == 1
+    assert done.stderr.startswith(f"emulator: {path}: {said}")
 
 
 def test_a_file_that_is_not_there() -> None:
     with pytest.raises(ScenarioError, match=r"nowhere\.toml: No such file"):
-        read(Path("nowhere.toml"))
+        read_scenario(Path("nowhere.toml"))
 
 
 @pytest.mark.parametrize("path", SCENARIOS, ids=lambda path: path.stem)
 def test_the_kept_scenarios_can_be_played_at_each_size(path: Path) -> None:
-    scenario = read(path)
+    scenario = read_scenario(path)
     assert scenario.name == path.stem
     for size in scenario.sizes:
-        made = plan(scenario, size)
-        assert len(made.sidecars) == size
-        assert len({row["instanceId"] for rows in made.services.values() for row in rows}) == size
-        times = [step.at_s for step in made.steps]
-        assert times == sorted(times) and (not times or times[-1] <= scenario.seconds)
+        plan = make_plan(scenario, size)
+        assert len(plan.sidecars) == size
+        assert len({row["instanceId"] for rows in plan.services.values() for row in rows}) == size
+        times = [step.at_s for step in plan.steps]
+        assert times == sorted(times)
+        assert not times or times[-1] <= scenario.seconds
 
 
 def test_a_seed_makes_each_draw_the_same() -> None:
@@ -122,58 +121,64 @@
         {"kind": "replace", "at_s": 8, "share": 0.2},
         {"kind": "restart", "at_s": 30, "share": 0.5},
     )
-    first, again = (msgspec.json.encode(plan(parse(with_events(*events)), 72)) for _ in range(2))
+    first, again = (msgspec.json.encode(planned(with_events(*events), 72)) for _ in range(2))
     assert first == again
-    assert first != msgspec.json.encode(plan(parse(with_events(*events, seed=2)), 72))
-    assert stream(1, "a").random(3).tolist() == stream(1, "a").random(3).tolist()
-    assert stream(1, "a").random() != stream(1, "b").random()
-    assert stream(1, "a", 12).random() != stream(1, "a", 1, 2).random()
+    assert first != msgspec.json.encode(planned(with_events(*events, seed=2), 72))
+    assert random_stream(1, "a").random(3).tolist() == random_stream(1, "a").random(3).tolist()
+    assert random_stream(1, "a").random() != random_stream(1, "b").random()
+    assert random_stream(1, "a", 12).random() != random_stream(1, "a", 1, 2).random()
 
 
 def test_an_added_event_changes_no_draw_of_those_before_it() -> None:
     restart = {"kind": "restart", "at_s": 30, "share": 0.5}
     change = {"kind": "change", "at_s": 1}
-    alone, both = (plan(parse(with_events(*events)), 72) for events in ((restart,), (restart, change)))
-    assert [s for s in both.steps if isinstance(s, Kill)] == [s for s in alone.steps if isinstance(s, Kill)]
+    alone, both = (planned(with_events(*events), 72) for events in ((restart,), (restart, change)))
+    assert [s for s in both.steps if isinstance(s, KillSidecars)] == [
+        s for s in alone.steps if isinstance(s, KillSidecars)
+    ]
 
 
 def test_the_topology_spreads_sidecars_over_services_zones_regions_and_layers() -> None:
-    made = plan(parse({**LEAST, "topology": {"zones": 12, "regions": 5, "depth": 2}}), 100)
-    assert {name: len(rows) for name, rows in made.services.items()} == {
+    plan = planned({**LEAST, "topology": {"zones": 12, "regions": 5, "depth": 2}}, 100)
+    assert {name: len(rows) for name, rows in plan.services.items()} == {
         "svc-00": 36,
         "svc-01": 36,
         "svc-02": 28,
     }
-    assert len({s.zone for s in made.sidecars}) == 12 and len({s.region for s in made.sidecars}) == 5
-    assert {s.layer for s in made.sidecars} == {0, 1}
-    single = plan(parse({**LEAST, "topology": {"single_list": True}}), 100)
+    assert len({s.zone for s in plan.sidecars}) == 12
+    assert len({s.region for s in plan.sidecars}) == 5
+    assert {s.layer for s in plan.sidecars} == {0, 1}
+    single = planned({**LEAST, "topology": {"single_list": True}}, 100)
     assert [len(rows) for rows in single.services.values()] == [100]
 
 
 def test_a_lost_zone_leaves_the_lists_once_noticed_and_comes_back() -> None:
     event = {"kind": "zone_lost", "at_s": 5, "zone": 3, "noticed_after_s": 2, "back_after_s": 14}
-    made = plan(parse(with_events(event)), 72)
-    inside = [i for i, s in enumerate(made.sidecars) if s.zone == "z3"]
-    kill, *_ = (s for s in made.steps if isinstance(s, Kill))
-    start, *_ = (s for s in made.steps if isinstance(s, Start))
-    assert (kill.at_s, start.at_s) == (5, 19) and kill.who == start.who == inside
-    lives = [
-        (s.at_s, {r["lifecycle"] for r in s.rows}, s.fresh) for s in made.steps if isinstance(s, ChangeList)
+    plan = planned(with_events(event), 72)
+    inside = [i for i, s in enumerate(plan.sidecars) if s.zone == "z3"]
+    kill, *_ = (s for s in plan.steps if isinstance(s, KillSidecars))
+    start, *_ = (s for s in plan.steps if isinstance(s, StartSidecars))
+    assert (kill.at_s, start.at_s) == (5, 19)
+    assert kill.sidecars == start.sidecars == inside
+    changes = [
+        (s.at_s, {r["lifecycle"] for r in s.rows}, s.starting)
+        for s in plan.steps
+        if isinstance(s, ChangeList)
     ]
-    assert lives == [(7, {"gone"}, False)] * 2 + [(19, {"ready"}, True)] * 2
+    assert changes == [(7, {"gone"}, False)] * 2 + [(19, {"ready"}, True)] * 2
 
 
 def test_an_outage_has_news_for_every_list_before_its_end() -> None:
-    made = plan(parse(with_events({"kind": "outage", "at_s": 8, "seconds": 14})), 72)
-    kinds = [(s.at_s, type(s)) for s in made.steps]
-    assert kinds == [(8, Down), (15, ChangeList), (15, ChangeList), (22, Down)]
+    plan = planned(with_events({"kind": "outage", "at_s": 8, "seconds": 14}), 72)
+    steps = [(s.at_s, type(s)) for s in plan.steps]
+    assert steps == [(8, SetOutage), (15, ChangeList), (15, ChangeList), (22, SetOutage)]
 
 
 def test_a_replacement_drains_each_endpoint_before_it_leaves_and_lists_a_new_one() -> None:
-    made = plan(parse(with_events({"kind": "replace", "at_s": 1, "share": 0.1})), 36)
-    known = {row["instanceId"] for row in made.services["svc-00"]}
+    plan = planned(with_events({"kind": "replace", "at_s": 1, "share": 0.1}), 36)
+    known = {row["instanceId"] for row in plan.services["svc-00"]}
     draining: set[str] = set()
-    for step in made.steps:
+    for step in plan.steps:
         assert isinstance(step, ChangeList)
         for row in step.rows:
             if row["lifecycle"] == "draining":
@@ -181,17 +186,18 @@
             elif row["lifecycle"] == "gone":
                 assert row["instanceId"] in draining
             else:
-                assert step.fresh and row["instanceId"] not in known
+                assert step.starting
+                assert row["instanceId"] not in known
     assert len(draining) == 4
 
 
 def test_a_window_opens_and_closes() -> None:
-    made = plan(parse(with_events({"kind": "measure", "at_s": 2, "name": "idle", "seconds": 3})), 36)
-    assert made.steps == [Window(2, "idle", True), Window(5, "idle", False)]
+    plan = planned(with_events({"kind": "measure", "at_s": 2, "name": "idle", "seconds": 3}), 36)
+    assert plan.steps == [MeasureWindow(2, "idle", True), MeasureWindow(5, "idle", False)]
 
 
 def test_a_revision_of_the_settings_changes_a_value() -> None:
-    sidecar = plan(parse(LEAST), 72).sidecars[40]
+    sidecar = planned(LEAST, 72).sidecars[40]
     old, new = (settings_document(sidecar, 36, 27, "push", revision) for revision in (0, 1))
     assert old["Categories"] != new["Categories"]
     assert {key: value for key, value in old.items() if key != "Categories"} == {
