--- a/emulator/breakdown.py
+++ b/emulator/breakdown.py
@@ -45,9 +45,9 @@
     Step("admit", "corkdoor.sidecar.server", "Server", "admit"),
     Step("host take", *PROXY, "take"),
     Step("module order", *BALANCER, "on_request"),
-    Step("module in-use sum", *BALANCER, "_in_use"),
-    Step("module pick", *BALANCER, "_pick"),
-    Step("module refill", "corkdoor.policy.buckets", "TokenBuckets", "refill"),
+    Step("module in-use sum", "corkdoor.policy.availability", "Availability", "pool_share"),
+    Step("module pick", "corkdoor.policy.endpoint_choice", "EndpointChooser", "choose"),
+    Step("module refill", "corkdoor.policy.token_buckets", "TokenBuckets", "refill"),
     Step("hand off", *PROXY, "send_attempt"),
     Step("take connection", "corkdoor.sidecar.upstream", "Pool", "take"),
     Step("poll for staleness", *UPSTREAM, "stale"),
@@ -61,7 +61,7 @@
     Step("chore: check callers", *CLIENT, "check"),
     Step("chore: report", *PROXY, "report"),
     Step("list taken", *PROXY, "on_list"),
-    Step("watch", "corkdoor.sidecar.discovery", "DiscoveryWatcher", "on_response"),
+    Step("watch", "corkdoor.sidecar.discovery.client", "DiscoveryClient", "on_response"),
 )
 
 
--- a/emulator/overloaded_discovery/sidecar.py
+++ b/emulator/overloaded_discovery/sidecar.py
@@ -9,9 +9,9 @@
 from corkdoor.balancer import Balancer
 from corkdoor.interface import Actions
 from corkdoor.model import Endpoint, Readiness, Timer, WatchEventKind
-from corkdoor.policy.watch_timeout import WatchWaits
+from corkdoor.policy.discovery.watch_timeout import WatchTimeout
 from corkdoor.settings import Settings
-from corkdoor.sidecar.discovery import PATIENCE_S, WATCH_PATIENCE_S
+from corkdoor.sidecar.discovery.client import POLL_TIMEOUT_S, WATCH_GRACE_S
 from emulator.overloaded_discovery.event_queue import EventQueue
 from emulator.overloaded_discovery.scenario import (
     LATENCY_US,
@@ -72,7 +72,7 @@
         self.moved_us: int | None = None  # when the last reload moved discovery
         self._needs_full_list = False  # since a move
         self._follows_response = False  # the next poll does
-        self._waits = WatchWaits()
+        self._watch_timeout = WatchTimeout()
         self._serial = 0
         self._watching = False
         self.balancer = Balancer(settings, seed, cast(Actions, self))
@@ -97,7 +97,7 @@
             self._poll()
         elif not enabled and self._watching:
             self._follows_response = self._watching = False
-            self._waits.interrupted(self.events.now_us)
+            self._watch_timeout.on_interruption(self.events.now_us)
             self._disconnect()
 
     def start_timer(self, delay_us: int, timer: Timer) -> None:
@@ -117,9 +117,9 @@
 
     def _poll(self) -> None:
         self._serial += 1
-        wait_us = self._waits.draw(self.rng.random()) * MS
+        wait_us = self._watch_timeout.draw_ms(self.rng.random()) * MS
         moved = self._needs_full_list
-        timeout_us = int(PATIENCE_S * S) if moved else wait_us + int(WATCH_PATIENCE_S * S)
+        timeout_us = int(POLL_TIMEOUT_S * S) if moved else wait_us + int(WATCH_GRACE_S * S)
         after = None if moved else self.generation
         now_us = self.events.now_us
         poll = SimulatedPoll(self.number, self._serial, after, wait_us, now_us, self._follows_response)
@@ -134,7 +134,7 @@
         now_us = self.events.now_us
         kind = WatchEventKind.FULL if self._needs_full_list else WatchEventKind.DELTA
         self._needs_full_list, self.generation = False, generation
-        self._waits.answered()
+        self._watch_timeout.on_answer()
         self._follows_response = True
         self.applied.append(AppliedList(now_us, generation))
         has_changed = poll.after is None or poll.after < generation
@@ -154,7 +154,7 @@
 
     def _fail(self, kind: WatchEventKind) -> None:
         self._serial += 1
-        self._waits.failed(self.events.now_us, kind)
+        self._watch_timeout.on_failure(self.events.now_us, kind)
         self._follows_response = self._watching = False
         self.balancer.on_watch_event(self.events.now_us, kind, [])
 
--- a/emulator/simulated_sidecars/process.py
+++ b/emulator/simulated_sidecars/process.py
@@ -15,7 +15,7 @@
 from corkdoor.settings_reader import read_settings
 from corkdoor.sidecar.bounds import Bounds
 from corkdoor.sidecar.config import Address, Config
-from corkdoor.sidecar.discovery import EndpointList, read_endpoint_list
+from corkdoor.sidecar.discovery.endpoint_list import EndpointList, read_endpoint_list
 from emulator.process_usage import read_resident_mb
 from emulator.scenario.random_streams import random_stream
 from emulator.scenario.sidecar_settings import settings_document
--- a/emulator/simulated_sidecars/proxy.py
+++ b/emulator/simulated_sidecars/proxy.py
@@ -8,7 +8,7 @@
 from corkdoor.model import Outcome, WatchEventKind
 from corkdoor.sidecar.clock import now_us
 from corkdoor.sidecar.config import Config
-from corkdoor.sidecar.discovery import ResolvedEndpoint
+from corkdoor.sidecar.discovery.endpoint_list import ResolvedEndpoint
 from corkdoor.sidecar.proxy import Proxy
 from emulator.simulated_sidecars.messages import RequestOutcome
 
--- a/emulator/slopes/decision_bench.py
+++ b/emulator/slopes/decision_bench.py
@@ -107,10 +107,11 @@
         """Return what a request costs, once the module has warmed up."""
         for _ in range(repeats):
             self.request()
-        subset = self.balancer.placement[CLASS_NAME].local.subset
+        subset = self.balancer.rules.placements.by_class[CLASS_NAME].local.subset
         request_us = mean_us(rounds, repeats, self.request)
         in_use_us = mean_us(rounds, repeats, self._add_up_in_use)
         return RequestCost(request_us, in_use_us, len(subset.members))
 
     def _add_up_in_use(self) -> None:
-        self.balancer._in_use(self.now_us, self.balancer.placement[CLASS_NAME].local)
+        rules = self.balancer.rules
+        rules.availability.pool_share(self.now_us, rules.placements.by_class[CLASS_NAME].local)
--- a/emulator/slopes/list_bench.py
+++ b/emulator/slopes/list_bench.py
@@ -11,7 +11,7 @@
 from corkdoor.sidecar.bounds import Bounds
 from corkdoor.sidecar.clock import now_us
 from corkdoor.sidecar.config import Address, Config
-from corkdoor.sidecar.discovery import read_endpoint_list
+from corkdoor.sidecar.discovery.endpoint_list import read_endpoint_list
 from corkdoor.sidecar.proxy import Proxy
 from emulator.sidecar import SETTINGS
 from emulator.slopes.fixtures import ListForm, list_bodies, make_rows
--- a/tests/test_emulator_discovery.py
+++ b/tests/test_emulator_discovery.py
@@ -13,7 +13,9 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from corkdoor.model import WatchEventKind
-from corkdoor.sidecar.discovery import CONNECT_S, DiscoveryWatcher, ResolvedEndpoint
+from corkdoor.policy.discovery.connect_timeout import MAX_TIMEOUT_S
+from corkdoor.sidecar.discovery.endpoint_list import ResolvedEndpoint
+from corkdoor.sidecar.discovery.watcher import DiscoveryWatcher
 from emulator.discovery.connection import read_poll
 from emulator.discovery.registry import CHANGE_LOG_ROWS, Registry
 from emulator.discovery.server import DiscoveryServer, ServerMode
@@ -156,11 +158,11 @@
         self.lists: asyncio.Queue[tuple[WatchEventKind, list[ResolvedEndpoint]]] = asyncio.Queue()
         self.persist = persist
         host, _, port = server.address("a").rpartition(":")
-        self.watcher = DiscoveryWatcher(host, int(port), generation, CONNECT_S, self._deliver)
+        self.watcher = DiscoveryWatcher(host, int(port), generation, MAX_TIMEOUT_S, self._deliver)
 
     def _deliver(self, form: WatchEventKind, entries: list[ResolvedEndpoint]) -> None:
         if self.persist and form not in (WatchEventKind.FULL, WatchEventKind.DELTA):
-            asyncio.get_running_loop().call_later(0.05, self.watcher.turn, True)
+            asyncio.get_running_loop().call_later(0.05, self.watcher.start)
         else:
             self.lists.put_nowait((form, entries))
 
@@ -185,14 +187,14 @@
     async def test() -> None:
         server = await started_server()
         watch = Watch(server, 0)  # ahead of nothing: generation 0 is older than the list's first
-        watch.watcher.turn(True)
+        watch.watcher.start()
         assert await watch.next() == (WatchEventKind.FULL, ["s-0 ready", "s-1 ready"])
         await until(lambda: server.statistics.polls[PollForm.WATCH] == 2)
         server.change("b", [row("s-9", "127.0.0.1:9")])  # another service's: not ours to hear
         server.change("a", [row("s-1", "127.0.0.1:9", "draining")])
         assert await watch.next() == (WatchEventKind.DELTA, ["s-1 draining"])
         assert watch.watcher.generation == 2
-        watch.watcher.turn(False)
+        watch.watcher.stop()
         await server.stop()
 
     run(test())
@@ -202,7 +204,7 @@
     async def test() -> None:
         server = await started_server()
         watch = Watch(server, 1)
-        watch.watcher.turn(True)
+        watch.watcher.start()
         await until(lambda: server.statistics.polls[PollForm.WATCH] == 1)
         await server.set_mode(ServerMode.DOWN)
         await until(lambda: server.statistics.open == 0)
@@ -212,7 +214,7 @@
         server.change("a", [row("s-0", "127.0.0.1:9", "gone")])
         await server.set_mode(ServerMode.SERVING)
         assert await watch.next() == (WatchEventKind.DELTA, ["s-0 gone"])
-        watch.watcher.turn(False)
+        watch.watcher.stop()
         await server.stop()
 
     run(test())
@@ -223,13 +225,13 @@
         server = await started_server(ServiceCost(poll_us=300_000, byte_ns=0, longest_wait_s=0.1))
         watches = [Watch(server, 0, persist=False) for _ in range(3)]
         for one in watches:
-            one.watcher.turn(True)
+            one.watcher.start()
         forms = [(await one.next())[0] for one in watches]
         assert forms.count(WatchEventKind.FULL) == 1
         assert forms.count(WatchEventKind.REJECTED) == 2
         assert server.statistics.failed == 2
         for one in watches:
-            one.watcher.turn(False)
+            one.watcher.stop()
         await server.stop()
 
     run(test())
@@ -240,12 +242,12 @@
         server = await started_server()
         await server.set_mode(ServerMode.SILENT)
         watch = Watch(server, 0, persist=False)
-        watch.watcher.turn(True)
+        watch.watcher.start()
         await until(lambda: server.statistics.polls[PollForm.WATCH] == 1)
         await server.set_mode(ServerMode.SERVING)
         server.change("a", [row("s-0", "127.0.0.1:9", "gone")])
         assert watch.lists.empty()  # the poll that came in the silence stays without a response
-        watch.watcher.turn(False)
+        watch.watcher.stop()
         await server.stop()
 
     run(test())
--- a/tests/test_live_settings.py
+++ b/tests/test_live_settings.py
@@ -13,6 +13,7 @@
 
 import pytest
 
+from corkdoor.policy.discovery.poll_state import PollState
 from corkdoor.settings_reader import read_settings
 from corkdoor.sidecar import server
 from corkdoor.sidecar.bounds import Bounds
@@ -146,7 +147,7 @@
             assert (await client.answer()).status == 200
             reload(sidecar, Allowed={**SETUP["Allowed"], "ConnIdleUs": 20_000})
             assert await sidecar.endpoints[0].ends.get() == 0
-            assert sidecar.proxy.balancer.idle.closed_us == 20_000
+            assert sidecar.proxy.balancer.rules.idle_connections.closed_after_us == 20_000
 
     run(test())
 
@@ -278,7 +279,7 @@
                 sidecar.proxy, "start_timer", lambda delay_us, timer: None
             )  # it never falls due
             (await sidecar.discovery.next()).reply(503, b"")
-            while sidecar.proxy.balancer.discovery.ask_at < 0:
+            while sidecar.proxy.balancer.discovery.state is PollState.CALLING:
                 await asyncio.sleep(0.001)
             reload(sidecar, Discovery="push")
             await sidecar.discovery.next()
