--- a/emulator/clients/load.py
+++ b/emulator/clients/load.py
@@ -40,7 +40,7 @@
 
 async def _send_all(streams: list[Stream]) -> None:
     """Send all arrivals of all streams in their order, each at its moment."""
-    arrivals = sorted((at_us, i) for i, stream in enumerate(streams) for at_us in stream.arrivals_us)
+    arrivals = sorted((at_us, index) for index, stream in enumerate(streams) for at_us in stream.arrivals_us)
     start_us = now_us()
     for stream in streams:
         stream.start_us = start_us
--- a/emulator/overloaded_discovery/sidecar.py
+++ b/emulator/overloaded_discovery/sidecar.py
@@ -34,6 +34,13 @@
     generation: int
 
 
+class AppliedChange(NamedTuple):
+    """When a change was made, and when the sidecar had it."""
+
+    made_us: int
+    applied_us: int
+
+
 class LostWatch(NamedTuple):
     """When a watch whose response was lost began, and when it was to end."""
 
@@ -160,18 +167,19 @@
 
     # --- what it knew, and when ---
 
-    def applied_us(self, changes_us: list[int]) -> Iterator[tuple[int, int]]:
+    def applied_changes(self, changes_us: list[int]) -> Iterator[AppliedChange]:
         """Yield when each change was made, and when the sidecar had it or the simulation ended."""
         for generation, made_us in enumerate(changes_us, 2):
             applied = (entry.at_us for entry in self.applied if entry.generation >= generation)
-            yield made_us, next(applied, self.events.now_us)
+            yield AppliedChange(made_us, next(applied, self.events.now_us))
 
-    def due_us(self, made_us: int, applied_us: int) -> int:
-        """Return when the sidecar counts as notified of a change that it had at `applied_us`."""
+    def due_us(self, change: AppliedChange) -> int:
+        """Return when the sidecar counts as notified of a change."""
+        made_us = change.made_us
         due_us = made_us + NOTIFIED_AFTER_US
         if self.moved_us is not None and made_us <= self.moved_us < due_us:
             due_us = max(due_us, self.moved_us + MOVED_AFTER_US)
         for watch in self.lost_watches:
-            if watch.sent_us <= applied_us and made_us <= watch.end_us:
+            if watch.sent_us <= change.applied_us and made_us <= watch.end_us:
                 due_us = max(due_us, watch.end_us + LOST_AFTER_US)
         return due_us
--- a/emulator/overloaded_discovery/simulation.py
+++ b/emulator/overloaded_discovery/simulation.py
@@ -86,9 +86,9 @@
     def _result(self) -> OverloadResult:
         result = self.discovery.result
         for sidecar in self.sidecars:
-            for made_us, applied_us in sidecar.applied_us(self.changes_us):
-                result.delays_us.append(applied_us - made_us)
-                result.late += applied_us > sidecar.due_us(made_us, applied_us) + DRAIN_GRACE_US
+            for change in sidecar.applied_changes(self.changes_us):
+                result.delays_us.append(change.applied_us - change.made_us)
+                result.late += change.applied_us > sidecar.due_us(change) + DRAIN_GRACE_US
         return result
 
 
--- a/emulator/run/processes.py
+++ b/emulator/run/processes.py
@@ -51,7 +51,7 @@
         Raises:
             PlayError: it ended, or was not ready in time.
         """
-        path = folder / f"orders-{config.process}.json"
+        path = folder / f"worker-{config.process}.json"
         path.write_bytes(msgspec.json.encode(config))
         process = await asyncio.create_subprocess_exec(
             sys.executable,
--- a/emulator/scenario/planner.py
+++ b/emulator/scenario/planner.py
@@ -52,7 +52,7 @@
         self.scenario = scenario
         topology = scenario.topology
         each = size if topology.single_list else topology.endpoints
-        self.names = [f"svc-{i:02d}" for i in range(math.ceil(size / each))]
+        self.names = [f"svc-{index:02d}" for index in range(math.ceil(size / each))]
         self.lists: dict[str, list[Row]] = {name: [] for name in self.names}
         self.sidecars: list[SidecarPlacement] = []
         rng = random_stream(scenario.seed, "ids")
@@ -110,7 +110,7 @@
 
     def zone_loss(self, event: ZoneLossEvent, _index: int, _rng: np.random.Generator) -> Iterator[Step]:
         zone = f"z{event.zone}"
-        inside = [i for i, sidecar in enumerate(self.sidecars) if sidecar.zone == zone]
+        inside = [number for number, sidecar in enumerate(self.sidecars) if sidecar.zone == zone]
         yield KillSidecars(event.at_s, "zone_lost", inside)
         yield StartSidecars(event.end_s(), "zone_back", inside)
         for name in self.names:
@@ -128,7 +128,7 @@
 
     def restart(self, event: RestartEvent, _index: int, rng: np.random.Generator) -> Iterator[Step]:
         count = math.ceil(event.share * len(self.sidecars))
-        drawn = sorted(int(i) for i in rng.permutation(len(self.sidecars))[:count])
+        drawn = sorted(int(number) for number in rng.permutation(len(self.sidecars))[:count])
         yield KillSidecars(event.at_s, "restart", drawn)
         yield StartSidecars(event.at_s, "restart", drawn, event.spread_s)
 
--- a/emulator/scenario/reader.py
+++ b/emulator/scenario/reader.py
@@ -43,7 +43,7 @@
     rows = document.get("events", [])
     if not isinstance(rows, list):
         raise ScenarioError("events", f"{rows!r}: must be a list of tables, [[events]]")
-    events = tuple(_parse_event(row, f"events[{i}]") for i, row in enumerate(rows))
+    events = tuple(_parse_event(row, f"events[{index}]") for index, row in enumerate(rows))
     # Apart from the events: their kind decides how each is read, and errors name them by their index.
     without_events = {key: value for key, value in document.items() if key != "events"}
     scenario = msgspec.structs.replace(_convert(without_events, Scenario, ""), events=events)
@@ -108,8 +108,8 @@
         problem = f"{topology.regions}: must be at most zones, {topology.zones}"
         raise ScenarioError("topology.regions", problem)
     outages: list[OutageEvent] = []
-    for i, event in enumerate(scenario.events):
-        where = f"events[{i}]"
+    for index, event in enumerate(scenario.events):
+        where = f"events[{index}]"
         if event.end_s() > scenario.seconds and not isinstance(event, ReplacementEvent):
             problem = f"ends at {event.end_s():g} s: must end by seconds, {scenario.seconds:g}"
             raise ScenarioError(where, problem)
--- a/emulator/slopes/fixtures.py
+++ b/emulator/slopes/fixtures.py
@@ -64,8 +64,8 @@
 def make_rows(count: int) -> list[Row]:
     """Return so many entries, with ids and addresses of the length that a platform gives."""
     return [
-        endpoint_row(f"s-{i * ID_MULTIPLIER % ID_BOUND:08x}", f"10.1.{i // 256}.{i % 256}:7070")
-        for i in range(count)
+        endpoint_row(f"s-{n * ID_MULTIPLIER % ID_BOUND:08x}", f"10.1.{n >> 8}.{n & 255}:7070")
+        for n in range(count)
     ]
 
 
--- a/faults/clients.py
+++ b/faults/clients.py
@@ -5,6 +5,7 @@
 import asyncio
 import random
 from enum import Enum
+from typing import NamedTuple
 
 from faults.oracle import STALLED_CLIENT_S, Idempotency, Oracle, Promise, RequestRecord
 from faults.plan import Plan
@@ -43,6 +44,13 @@
 )
 
 
+class NewRequest(NamedTuple):
+    """A drawn request and its bytes."""
+
+    record: RequestRecord
+    data: bytes
+
+
 class SoakClient:
     """Keeps one connection where it can, and sends one request after another.
 
@@ -105,8 +113,7 @@
 
     # --- requests ---
 
-    def _new_request(self) -> tuple[RequestRecord, bytes]:
-        """Draw a request; return its record and its bytes."""
+    def _draw_request(self) -> NewRequest:
         assert self.target is not None
         self.serial += 1
         idempotency = self.rng.choice(list(Idempotency))
@@ -128,19 +135,19 @@
             lines.append(f"Content-Length: {len(body)}")
         now_s = asyncio.get_running_loop().time()
         record = RequestRecord(request_id, idempotency, now_s, deadline_s, self.target.name)
-        return record, "\r\n".join([*lines, "", ""]).encode() + body
+        return NewRequest(record, "\r\n".join([*lines, "", ""]).encode() + body)
 
     async def _request(self, behaviour: ClientBehaviour) -> None:
         pipelines = behaviour is ClientBehaviour.PIPELINES
         count = self.rng.randrange(*PIPELINED_REQUESTS) if pipelines else 1
-        drawn = [self._new_request() for _ in range(count)]
-        records = [record for record, _ in drawn]
+        requests = [self._draw_request() for _ in range(count)]
+        records = [request.record for request in requests]
         for record in records:
             self.oracle.sent(record)
         try:
-            await self._send(b"".join(data for _, data in drawn), behaviour, records)
+            await self._send(b"".join(request.data for request in requests), behaviour, records)
             for index, record in enumerate(records):  # responses come in the order of requests
-                record.due_s = max(r.sent_s + r.deadline_s for r in records[: index + 1])
+                record.due_s = max(earlier.sent_s + earlier.deadline_s for earlier in records[: index + 1])
             if behaviour is ClientBehaviour.CLOSES:
                 await self._close_early(records[0])
             else:
@@ -227,7 +234,7 @@
         assert self.reader is not None
         assert self.target is not None
         loop = asyncio.get_running_loop()
-        _, data = self._new_request()
+        data = self._draw_request().data
         started_s = loop.time()
         target = self.target
         try:
--- a/faults/endpoints.py
+++ b/faults/endpoints.py
@@ -6,6 +6,7 @@
 import contextlib
 import random
 from enum import Enum
+from typing import NamedTuple
 
 from faults.oracle import Execution, Oracle
 from testbed.http_messages import Message, read_message, reset
@@ -47,6 +48,13 @@
 }
 
 
+class EncodedResponse(NamedTuple):
+    """The bytes of a complete response, and whether the connection stays after it."""
+
+    data: bytes
+    keeps: bool
+
+
 class FaultyEndpoint:
     """Serves attempts in all forms that the protocol allows, or fails at them.
 
@@ -148,16 +156,18 @@
         await writer.drain()
         return keeps
 
-    def _encode(self, body: bytes) -> tuple[bytes, bool]:
-        """Return a response in one of four forms, and whether the connection outlives it."""
-        form = self.rng.randrange(4)
+    def _encode(self, body: bytes) -> EncodedResponse:
+        """Return a response in one of three forms."""
+        form = self.rng.randrange(4)  # a stated length in two of four
         if form == 0:  # ends with the connection
-            return b"HTTP/1.1 200 OK\r\nX-Note: n\r\n\r\n" + body, False
+            return EncodedResponse(b"HTTP/1.1 200 OK\r\nX-Note: n\r\n\r\n" + body, keeps=False)
         if form == 1:
             chunk = b"%x\r\n%b\r\n0\r\n\r\n" % (len(body), body)
             coding = self.rng.choice((b"chunked", b" chunked ", b"  Chunked"))
-            return b"HTTP/1.1 200 OK\r\nTransfer-Encoding:%b\r\n\r\n%b" % (coding, chunk), True
-        return b"HTTP/1.1 200 OK\r\ncontent-length: %d \r\n\r\n%b" % (len(body), body), True
+            data = b"HTTP/1.1 200 OK\r\nTransfer-Encoding:%b\r\n\r\n%b" % (coding, chunk)
+            return EncodedResponse(data, keeps=True)
+        data = b"HTTP/1.1 200 OK\r\ncontent-length: %d \r\n\r\n%b" % (len(body), body)
+        return EncodedResponse(data, keeps=True)
 
 
 class FaultProxy:
--- a/faults/preload.py
+++ b/faults/preload.py
@@ -1,4 +1,4 @@
-"""Builds the preloaded library, and commands the faults that it plays into one process."""
+"""Builds the preloaded library, and controls the faults that it injects into one process."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 SLOT = struct.Struct("=14i")  # skip, count, error, limit, per_million, hits, errors[8]
 ERRORS = 8
 ARMED = struct.Struct("=4i")  # the first four fields of a slot
-RANDOM = struct.Struct("=i")
-RANDOM_PLACE, HITS_PLACE, ERRORS_PLACE = 16, 20, 24  # of these fields within a slot
+FIELD = struct.Struct("=i")
+COUNT_OFFSET, RANDOM_OFFSET, HITS_OFFSET, ERRORS_OFFSET = 4, 16, 20, 24  # of these fields within a slot
 SHORT = -1  # in place of an error: a transfer of a few bytes
 
 
@@ -73,7 +73,12 @@
 
 
 class FaultControl:
-    """The shared memory that controls the faults of one process."""
+    """The shared memory that controls the faults of one process.
+
+    Args:
+        path: of the file that is mapped; overwritten.
+        seed: of the library's random faults.
+    """
 
     def __init__(self, path: Path, seed: int = 1) -> None:
         self.path = path
@@ -84,40 +89,40 @@
         HEADER.pack_into(self._memory, 0, 0, seed or 1)
 
     def environment(self, library: Path) -> dict[str, str]:
-        """The variables with which the process has to be started."""
+        """Return the variables with which the process has to be started."""
         return {"LD_PRELOAD": str(library), "FAULT_CONTROL": str(self.path)}
 
-    def _place(self, call: SystemCall) -> int:
+    def _slot_offset(self, call: SystemCall) -> int:
         return HEADER.size + SLOT.size * call
 
     def step_clock(self, offset_us: int) -> None:
-        """Set the wall clock so far ahead (behind, below 0) of the machine's."""
+        """Set the process's wall clock ahead of the machine's, or behind it where `offset_us` is below 0."""
         struct.pack_into("=q", self._memory, 0, offset_us)
 
     def fail_next(self, call: SystemCall, error: int, count: int = 1, skip: int = 0) -> None:
-        """Let the next calls of a kind fail, after so many that pass."""
-        place = self._place(call)
-        ARMED.pack_into(self._memory, place, skip, 0, error, 0)
-        RANDOM.pack_into(self._memory, place + 4, count)  # last: it arms the others
+        """Let the next `count` calls of a kind fail with this error, after `skip` that pass."""
+        offset = self._slot_offset(call)
+        ARMED.pack_into(self._memory, offset, skip, 0, error, 0)
+        FIELD.pack_into(self._memory, offset + COUNT_OFFSET, count)  # last: it arms the others
 
     def shorten_next(self, call: SystemCall, limit: int, count: int = 1) -> None:
-        """Let the next calls of a kind move so many bytes at most."""
-        place = self._place(call)
-        ARMED.pack_into(self._memory, place, 0, 0, 0, limit)
-        RANDOM.pack_into(self._memory, place + 4, count)
+        """Let the next `count` calls of a kind move `limit` bytes at most."""
+        offset = self._slot_offset(call)
+        ARMED.pack_into(self._memory, offset, 0, 0, 0, limit)
+        FIELD.pack_into(self._memory, offset + COUNT_OFFSET, count)
 
     def fail_at_random(self, call: SystemCall, per_million: int, errors: Sequence[int] = ()) -> None:
-        """Let a share of the calls of a kind fail, by default with any error that is documented."""
+        """Let so many in a million calls of a kind fail, by default with any error that is documented."""
         chosen = tuple(errors or DOCUMENTED[call])[:ERRORS]
-        place = self._place(call)
+        offset = self._slot_offset(call)
         struct.pack_into(
-            f"={ERRORS}i", self._memory, place + ERRORS_PLACE, *chosen, *[0] * (ERRORS - len(chosen))
+            f"={ERRORS}i", self._memory, offset + ERRORS_OFFSET, *chosen, *[0] * (ERRORS - len(chosen))
         )
-        RANDOM.pack_into(self._memory, place + RANDOM_PLACE, per_million)
+        FIELD.pack_into(self._memory, offset + RANDOM_OFFSET, per_million)
 
     def hits(self, call: SystemCall) -> int:
         """Return how many calls of a kind have failed or been shortened so far."""
-        return int(RANDOM.unpack_from(self._memory, self._place(call) + HITS_PLACE)[0])
+        return int(FIELD.unpack_from(self._memory, self._slot_offset(call) + HITS_OFFSET)[0])
 
     def close(self) -> None:
         """Let go of the memory; the process keeps its own view."""
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -1,4 +1,4 @@
-"""Nothing adds up where connections, endpoints and ids are ever new: objects are counted after churn."""
+"""No objects leak where connections, endpoints and ids are ever new: they are counted after churn."""
 
 from __future__ import annotations
 
@@ -20,26 +20,26 @@
 
 
 def counts() -> Counter[str]:
-    return Counter(type(o).__name__ for o in gc.get_objects() if isinstance(o, COUNTED))
+    return Counter(type(item).__name__ for item in gc.get_objects() if isinstance(item, COUNTED))
 
 
-@pytest.mark.parametrize("ending", ["answered", "turned away", "client gone", "spoilt", "timed out"])
+@pytest.mark.parametrize("ending", ["answered", "rejected", "client closed", "malformed", "timed out"])
 def test_churned_connections_leave_nothing_for_the_collector(ending: str) -> None:
-    """The start freezes what lives and makes full collections rare: what hangs in a cycle piles up."""
+    """Guards against reference cycles: the sidecar makes full collections rare, so these would add up."""
 
     async def one(sidecar: Sidecar) -> None:
         client = await sidecar.client()
         client.send(
             deadline_ms=80 if ending == "timed out" else 2500,
-            Req_Owner="?" if ending == "turned away" else "acme",
+            Req_Owner="?" if ending == "rejected" else "acme",
         )
-        if ending != "turned away":
+        if ending != "rejected":
             asked = await sidecar.endpoints[0].next()
             if ending == "answered":
                 asked.reply(200, b"done", "Connection: close")
-            elif ending == "spoilt":
+            elif ending == "malformed":
                 asked.writer.write(b"noise\r\n\r\n")
-        if ending == "client gone":
+        if ending == "client closed":
             client.writer.close()
             await sidecar.endpoints[0].ends.get()
         else:
@@ -71,15 +71,15 @@
 
 
 @pytest.mark.parametrize("form", [WatchEventKind.DELTA, WatchEventKind.FULL])
-def test_endpoints_that_are_gone_are_forgotten(form: WatchEventKind) -> None:
+def test_endpoints_that_left_the_list_are_forgotten(form: WatchEventKind) -> None:
     async def test() -> None:
         async with Sidecar(endpoints=1) as sidecar:
             address = sidecar.endpoints[0].address
-            for i in range(50):
-                rows = [row(f"s-{i + 1}", address)]
+            for number in range(50):
+                rows = [row(f"s-{number + 1}", address)]
                 if form is WatchEventKind.DELTA:
-                    rows += [row(f"s-{i}", address, "draining"), row(f"s-{i}", address, "gone")]
-                listing = read_endpoint_list({"generation": i, "reset": False, "instances": rows})
+                    rows += [row(f"s-{number}", address, "draining"), row(f"s-{number}", address, "gone")]
+                listing = read_endpoint_list({"generation": number, "reset": False, "instances": rows})
                 sidecar.proxy.on_list(form, listing.entries)
             assert list(sidecar.proxy.upstream.pools) == ["s-50"]
             assert list(sidecar.proxy.balancer.endpoints) == ["s-50"]
@@ -87,8 +87,8 @@
     run(test())
 
 
-def test_late_outcome_of_an_endpoint_that_is_gone_does_no_harm() -> None:
-    """Its address may have come back under a new id, whose own calls it must not be counted with."""
+def test_late_outcome_of_an_endpoint_that_left_the_list_does_no_harm() -> None:
+    """Its address may have come back under a new id, whose own requests it must not be counted with."""
 
     async def test() -> None:
         async with Sidecar(endpoints=1) as sidecar:
@@ -100,7 +100,7 @@
             listing = read_endpoint_list({"generation": 2, "reset": False, "instances": rows})
             sidecar.proxy.on_list(WatchEventKind.DELTA, listing.entries)
             balancer = sidecar.proxy.balancer
-            assert set(balancer.endpoints) == {"s-0", "s-1"}  # one has something out
+            assert set(balancer.endpoints) == {"s-0", "s-1"}  # one has a request in flight
             new_client.send()
             new = await fake.next()
             assert new.connection != old.connection
