--- a/faults/discovery.py
+++ b/faults/discovery.py
@@ -13,6 +13,7 @@
 from faults.plan import DiscoveryProfile
 from testbed.discovery_wire import Poll, Row, endpoint_list, parse_poll
 from testbed.http_messages import encode_response, read_message, reset
+from testbed.loopback_server import LoopbackServer
 
 ADDRESSES = 3  # that lead to the same lists; a reload may name another one
 DISCONNECT_CHECK_S = 0.02  # how often it is checked whether a sidecar that waits has hung up
@@ -68,7 +69,7 @@
         self.polls = 0
         self.rejected = 0
         self._changed = asyncio.Event()
-        self._writers: dict[asyncio.StreamWriter, None] = {}
+        self._servers: list[LoopbackServer] = []
         self._idle_at_s = 0.0  # loop time at which all accepted work is done
         self._accepted = 0  # polls that wait for their turn or have it
 
@@ -78,8 +79,15 @@
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await self._serve(sidecar, reader, writer)
 
-        servers = [await asyncio.start_server(serve, "127.0.0.1", 0) for _ in range(ADDRESSES)]
-        return [int(server.sockets[0].getsockname()[1]) for server in servers]
+        servers = [LoopbackServer(serve) for _ in range(ADDRESSES)]
+        for server in servers:
+            await server.start()
+        self._servers += servers
+        return [server.port for server in servers]
+
+    async def stop(self) -> None:
+        """Stop listening and end all connections."""
+        await asyncio.gather(*(server.stop() for server in self._servers))
 
     # --- the list ---
 
@@ -118,21 +126,15 @@
 
     def reset_watches(self) -> None:
         """Reset all connections: whoever watches has to poll anew."""
-        for writer in list(self._writers):
-            reset(writer)
+        for server in self._servers:
+            server.reset_connections()
 
     # --- polls ---
 
     async def _serve(self, sidecar: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self._writers[writer] = None
-        try:
+        with contextlib.suppress(asyncio.IncompleteReadError, OSError, RuntimeError):
             while await self._serve_one(sidecar, reader, writer):
                 pass
-        except (asyncio.IncompleteReadError, OSError, RuntimeError):
-            pass
-        finally:
-            self._writers.pop(writer, None)
-            writer.close()
 
     async def _serve_one(
         self, sidecar: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
--- a/faults/endpoints.py
+++ b/faults/endpoints.py
@@ -10,6 +10,7 @@
 
 from faults.oracle import Execution, Oracle
 from testbed.http_messages import Message, read_message, reset
+from testbed.loopback_server import LoopbackServer
 
 BODY_SIZES = (0, 40, 3000, 20_000)  # bytes, behind the request's id
 MEAN_SERVICE_S = 0.02
@@ -70,12 +71,7 @@
         self.oracle = oracle
         self.rng = rng
         self.fault_scale = fault_scale
-
-    async def start(self) -> FaultyEndpoint:
-        """Listen on a free port of loopback."""
-        self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
-        self.port = int(self.server.sockets[0].getsockname()[1])
-        return self
+        self.server = LoopbackServer(self._serve)
 
     def _draw_behaviour(self) -> Behaviour:
         drawn = self.rng.random()
@@ -104,7 +100,6 @@
         finally:
             if execution is not None and execution.ended_s is None:
                 execution.ended_s = loop.time()
-            writer.close()
 
     def _note_attempt(self, message: Message, behaviour: Behaviour) -> Execution | None:
         deadline_ms = int(message.headers.get("req-deadline-ms", "0"))
@@ -182,13 +177,8 @@
         self.endpoint_port = endpoint_port
         self.rng = rng
         self.break_share = 0.0  # of connections that break within their first bytes
-        self.writers: set[asyncio.StreamWriter] = set()
-
-    async def start(self) -> FaultProxy:
-        """Listen on a free port of loopback."""
-        self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
-        self.port = int(self.server.sockets[0].getsockname()[1])
-        return self
+        self.server = LoopbackServer(self._serve)
+        self._upstream_writers: set[asyncio.StreamWriter] = set()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
@@ -196,16 +186,14 @@
         except OSError:
             reset(writer)
             return
-        both = {writer, upstream_writer}
-        self.writers |= both
+        self._upstream_writers.add(upstream_writer)
         copies = [
             asyncio.ensure_future(self._copy(reader, upstream_writer)),
             asyncio.ensure_future(self._copy(upstream_reader, writer)),
         ]
         await asyncio.wait(copies)
-        self.writers -= both
-        for each in both:
-            each.close()
+        self._upstream_writers.discard(upstream_writer)
+        upstream_writer.close()
 
     async def _copy(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         breaks = self.rng.random() < self.break_share
@@ -224,6 +212,7 @@
             reset(writer)
 
     def break_all(self) -> None:
-        """Reset all connections at once."""
-        for writer in list(self.writers):
+        """Reset all connections at once, on both sides."""
+        self.server.reset_connections()
+        for writer in list(self._upstream_writers):
             reset(writer)
--- a/faults/world.py
+++ b/faults/world.py
@@ -43,10 +43,13 @@
         await asyncio.gather(*(sidecar.start() for sidecar in self.sidecars))
 
     async def stop(self) -> None:
-        """Kill all sidecars that still run."""
+        """Kill all sidecars that still run, then end all endpoints and discovery."""
         for sidecar in self.sidecars:
             if sidecar.process is not None and sidecar.process.returncode is None:
                 await sidecar.kill()
+        servers = [endpoint.server for endpoint in self.endpoints]
+        servers += [proxy.server for proxy in self.proxies.values()]
+        await asyncio.gather(*(server.stop() for server in servers), self.context.discovery.stop())
 
     def free_sidecar(self) -> SidecarProcess | None:
         """Return a drawn sidecar that is not being restarted; None where a third or less are left."""
@@ -59,8 +62,9 @@
         number = len(self.endpoints)
         rng = random.Random(f"{plan.seed}-{number}")
         endpoint = FaultyEndpoint(f"s-{number}", self.context.oracle, rng, plan.endpoint_fault_scale)
-        await endpoint.start()
-        proxy = await FaultProxy(endpoint.port, rng).start()
+        await endpoint.server.start()
+        proxy = FaultProxy(endpoint.server.port, rng)
+        await proxy.server.start()
         self.endpoints.append(endpoint)
         self.proxies[endpoint.name] = proxy
         self.list_endpoint(endpoint.name, "ready", warming_up)
@@ -73,7 +77,7 @@
         now_ms = int(asyncio.get_running_loop().time() * MS_PER_S)
         return endpoint_row(
             name,
-            f"127.0.0.1:{self.proxies[name].port}",
+            f"127.0.0.1:{self.proxies[name].server.port}",
             zone=self.context.rng.choice("ab"),
             lifecycle=lifecycle,
             started_ms=now_ms if warming_up else 0,
--- /dev/null
+++ b/testbed/loopback_server.py
@@ -0,0 +1,57 @@
+"""A server of byte streams on a free loopback port, whose connections end with it."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Awaitable, Callable
+from typing import Any
+
+from testbed.http_messages import reset
+
+STOP_S = 2.0  # within which handlers end once their connections are reset
+Handler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
+
+
+class LoopbackServer:
+    """Calls a handler for each connection, and closes the connection when the handler ends.
+
+    Args:
+        handler: of one connection; it returns once the connection has ended.
+    """
+
+    def __init__(self, handler: Handler) -> None:
+        self._handler = handler
+        self._server: asyncio.Server | None = None
+        self._connections: dict[asyncio.StreamWriter, asyncio.Task[Any] | None] = {}
+        self.port = 0
+
+    async def start(self) -> None:
+        """Listen on a free port of loopback.
+
+        Raises:
+            OSError: no port is to be had.
+        """
+        self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
+        self.port = int(self._server.sockets[0].getsockname()[1])
+
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        self._connections[writer] = asyncio.current_task()
+        try:
+            await self._handler(reader, writer)
+        finally:
+            del self._connections[writer]
+            writer.close()
+
+    def reset_connections(self) -> None:
+        """Reset all connections; new ones are accepted."""
+        for writer in list(self._connections):
+            reset(writer)
+
+    async def stop(self) -> None:
+        """Stop listening, reset all connections and wait for their handlers."""
+        if self._server is not None:
+            self._server.close()
+        self.reset_connections()
+        handlers = [task for task in self._connections.values() if task is not None]
+        if handlers:
+            await asyncio.wait(handlers, timeout=STOP_S)
--- a/tests/test_fault_soak.py
+++ b/tests/test_fault_soak.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 from collections.abc import Callable
 from pathlib import Path
 
@@ -23,6 +24,7 @@
 from faults.plan import DiscoveryProfile, Fault, Plan, draw_plan, overloaded_plan
 from faults.sidecar_log import LogFinding, read_findings
 from faults.soak import Soak, play
+from testbed.loopback_server import LoopbackServer
 
 WINDOW_S = 1.5
 GRACE_S = 1.2
@@ -191,6 +193,30 @@
     assert set(soak.injector.handlers) == set(Fault)
 
 
+def test_a_server_that_stops_ends_its_connections_and_waits_for_their_handlers() -> None:
+    ended: list[bytes] = []
+
+    async def handle(reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
+        with contextlib.suppress(ConnectionError):
+            ended.append(await reader.read())
+
+    async def test() -> None:
+        server = LoopbackServer(handle)
+        await server.start()
+        reader, writer = await asyncio.open_connection("127.0.0.1", server.port)
+        writer.write(b"open")
+        await asyncio.sleep(0.05)
+        await server.stop()
+        assert len(ended) == 1
+        with pytest.raises(ConnectionResetError):
+            await reader.read()
+        with pytest.raises(ConnectionRefusedError):
+            await asyncio.open_connection("127.0.0.1", server.port)
+
+    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
+        runner.run(test())
+
+
 def played(plan: Plan, folder: Path) -> Soak:
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         return runner.run(play(plan, folder))
