--- a/corkdoor/model.py
+++ b/corkdoor/model.py
@@ -1,6 +1,6 @@
 """The values that the balancer and its host exchange: endpoints, outcomes, watch events and timers.
 
-The enums' values are the codes of the simulator's wire; only the adapter reads or writes them as such.
+Most enums' values are codes of the wire or of the settings; only the modules at those edges use them.
 """
 
 from __future__ import annotations
@@ -78,16 +78,16 @@
         id: unique within the list.
         zone: the zone that it stands in; empty: unknown.
         machine_type: the type of its machine; empty: unknown.
-        cell: the deduplication cell; -1: none.
+        cell: the deduplication cell; None: it belongs to none.
         readiness: its listed state.
         weight: its capacity relative to its peers, above 0.
-        started_us: when its process started, on the host's clock, in microseconds; 0: long ago.
+        started_us: when its process started, on the host's clock, in microseconds; None: long ago.
     """
 
     id: str
     zone: str
     machine_type: str
-    cell: int
+    cell: int | None
     readiness: Readiness
     weight: float = 1.0
-    started_us: int = 0
+    started_us: int | None = None
--- a/corkdoor/policy/retries.py
+++ b/corkdoor/policy/retries.py
@@ -14,7 +14,11 @@
 
 
 class RetryBudget:
-    """Limits retries and hedges to a share of the first attempts: faults must not multiply the load."""
+    """Limits retries and hedges to a share of the first attempts: faults must not multiply the load.
+
+    Attributes:
+        tokens: retries and hedges that are left.
+    """
 
     def __init__(self) -> None:
         self.tokens = MAX_BUDGET
@@ -48,8 +52,8 @@
         own_limit = MAX_ATTEMPTS_INNER if settings.layer else MAX_ATTEMPTS_OUTERMOST
         self._max_attempts = min(own_limit, settings.limits.max_attempts)
 
-    def allows(self, now_us: int, request: Request, outcome: Outcome) -> bool:
-        """Return whether the request may be retried after this outcome; that may take from the budget."""
+    def take_retry(self, now_us: int, request: Request, outcome: Outcome) -> bool:
+        """Return whether the request may be retried after this outcome, and take it from the budget if so."""
         unsafe = request.request_class.idempotency is Idempotency.NOT_IDEMPOTENT
         if request.first_run is not None and unsafe:
             return False
--- a/corkdoor/sidecar/clients/states.py
+++ b/corkdoor/sidecar/clients/states.py
@@ -1,4 +1,4 @@
-"""The states of a client's connection and of the server, and which may follow which.
+"""The states of a client's connection, and which may follow which.
 
 A connection has three states at a time, since they change independently: of its input, of its output, and of
 what is known of the client. Whether reading is paused is a fourth, kept by `read_flow`.
@@ -43,15 +43,6 @@
     PAUSED = 2
 
 
-class ServerState(IntEnum):
-    """The phases of a graceful shutdown."""
-
-    SERVING = 1
-    DRAINING = 2  # not ready for new clients; those that are connected are served
-    CLOSING = 3  # connections close after their next response
-    CLOSED = 4  # no connection is accepted
-
-
 INPUT_STATES = TransitionTable(
     "client_input",
     {
@@ -84,12 +75,3 @@
         ReadState.PAUSED: frozenset((ReadState.READING,)),
     },
 )
-SERVER_STATES = TransitionTable(
-    "server",
-    {
-        ServerState.SERVING: frozenset((ServerState.DRAINING,)),
-        ServerState.DRAINING: frozenset((ServerState.CLOSING,)),
-        ServerState.CLOSING: frozenset((ServerState.CLOSED,)),
-        ServerState.CLOSED: frozenset(),
-    },
-)
--- a/corkdoor/sidecar/transport/acceptor.py
+++ b/corkdoor/sidecar/transport/acceptor.py
@@ -55,6 +55,11 @@
         if self._state is ListenerState.OPEN:
             self._start_watching()
 
+    @property
+    def is_closed(self) -> bool:
+        """Whether it listens no more."""
+        return self._state is ListenerState.CLOSED
+
     def has_waiting(self) -> bool:
         """Whether a connection waits to be taken."""
         return self._state is ListenerState.OPEN and self._poller.has(INPUT, otherwise=True)
--- a/corkdoor/sidecar/upstream/attempt.py
+++ b/corkdoor/sidecar/upstream/attempt.py
@@ -3,17 +3,17 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from enum import auto
+from enum import IntEnum, auto
 
 from corkdoor.model import Outcome
-from corkdoor.sidecar.clock import Alarm, now_us
+from corkdoor.sidecar.clock import now_us
 from corkdoor.sidecar.resend_guard import Location
 from corkdoor.sidecar.upstream.connection import Connection
 from corkdoor.sidecar.upstream.response import Response
-from corkdoor.state_machine import ObjectState, TransitionTable
+from corkdoor.state_machine import TransitionTable
 
 
-class AttemptState(ObjectState):
+class AttemptState(IntEnum):
     """How far an attempt has come."""
 
     PENDING = auto()  # nothing of it was written
@@ -21,12 +21,13 @@
     ENDED = auto()
 
 
+PENDING, SENT, ENDED = AttemptState  # bound once: members are slow to look up
 ATTEMPT_STATES = TransitionTable(
     "attempt",
     {
-        AttemptState.PENDING: frozenset((AttemptState.SENT, AttemptState.ENDED)),
-        AttemptState.SENT: frozenset((AttemptState.ENDED,)),
-        AttemptState.ENDED: frozenset(),
+        PENDING: frozenset((SENT, ENDED)),
+        SENT: frozenset((ENDED,)),
+        ENDED: frozenset(),
     },
 )
 
@@ -47,7 +48,6 @@
         outcome: how it ended; None: it has not.
         started_us: when it was asked for.
         sent_us: when its bytes were given to the kernel; None: they were not.
-        timeout: its own timeout, where that is shorter than the request's.
         connection: the one that carries it.
     """
 
@@ -63,7 +63,6 @@
         "sent_us",
         "started_us",
         "state",
-        "timeout",
     )
 
     def __init__(
@@ -81,35 +80,31 @@
         self.encode = encode
         self.on_end = on_end
         self.label = label
-        self.state = AttemptState.PENDING
+        self.state = PENDING
         self.outcome: Outcome | None = None
         self.started_us = now_us()
         self.sent_us: int | None = None
-        self.timeout: Alarm | None = None
         self.connection: Connection | None = None
 
     @property
     def ended(self) -> bool:
         """Whether it has its outcome."""
-        return self.state is AttemptState.ENDED
+        return self.state is ENDED
 
     def mark_sent(self, connection: Connection) -> int:
         """Note that this connection carries it from now on, and return the time."""
-        self.state = ATTEMPT_STATES.check(self.state, AttemptState.SENT)
+        self.state = ATTEMPT_STATES.check(self.state, SENT)
         self.connection = connection
         self.sent_us = now_us()
         return self.sent_us
 
     def end(self, outcome: Outcome, response: Response | None = None) -> None:
         """End it, unless it has ended."""
-        if self.ended:
+        if self.state is ENDED:
             return
-        self.state = ATTEMPT_STATES.check(self.state, AttemptState.ENDED)
+        self.state = ATTEMPT_STATES.check(self.state, ENDED)
         self.outcome = outcome
         self.connection = None
-        if self.timeout is not None:
-            self.timeout.cancel()
-            self.timeout = None  # it refers to this attempt, which would leave a reference cycle
         self.on_end(self, outcome, response)
 
     def outcome_name(self) -> str:
--- a/corkdoor/sidecar/upstream/response_reader.py
+++ b/corkdoor/sidecar/upstream/response_reader.py
@@ -5,8 +5,7 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field
-from enum import auto
+from enum import IntEnum, auto
 
 import httptools
 
@@ -19,14 +18,14 @@
     ResponseError,
 )
 from corkdoor.sidecar.upstream.response import Response
-from corkdoor.state_machine import ObjectState, TransitionTable
+from corkdoor.state_machine import TransitionTable
 
 MAX_BODY_BYTES = 64 * 1024  # the protocol's limit
 MAX_HEAD_BYTES = 16 * 1024  # with all interim responses before it
 _FIRST_FINAL_STATUS = 200  # those below are interim: RFC 9110, 15
 
 
-class ResponsePhase(ObjectState):
+class ResponsePhase(IntEnum):
     """How far a response has been read."""
 
     HEAD = auto()
@@ -35,27 +34,39 @@
     COMPLETE = auto()
 
 
+HEAD, BODY, BODY_UNTIL_CLOSE, COMPLETE = ResponsePhase  # bound once: members are slow to look up
 RESPONSE_PHASES = TransitionTable(
     "response",
     {
-        ResponsePhase.HEAD: frozenset((ResponsePhase.BODY, ResponsePhase.BODY_UNTIL_CLOSE)),
-        ResponsePhase.BODY: frozenset((ResponsePhase.COMPLETE,)),
-        ResponsePhase.BODY_UNTIL_CLOSE: frozenset((ResponsePhase.COMPLETE,)),
-        ResponsePhase.COMPLETE: frozenset(),
+        HEAD: frozenset((BODY, BODY_UNTIL_CLOSE)),
+        BODY: frozenset((COMPLETE,)),
+        BODY_UNTIL_CLOSE: frozenset((COMPLETE,)),
+        COMPLETE: frozenset(),
     },
 )
 
 
-@dataclass(slots=True)
 class _PartialResponse:
-    """The response that is being read."""
+    """The response that is being read.
+
+    Attributes:
+        phase: how far it has been read.
+        headers: its header fields.
+        head_bytes: the size of what has come of the head, interim responses included.
+        body: what has come of the body.
+        keep_alive: whether another exchange may follow on the connection.
+        complete: the response; None: it is not complete.
+    """
+
+    __slots__ = ("body", "complete", "head_bytes", "headers", "keep_alive", "phase")
 
-    phase: ResponsePhase = ResponsePhase.HEAD
-    headers: list[tuple[bytes, bytes]] = field(default_factory=list)
-    head_bytes: int = 0
-    body: bytearray = field(default_factory=bytearray)
-    keep_alive: bool = False  # whether another exchange may follow on the connection
-    complete: Response | None = None
+    def __init__(self) -> None:
+        self.phase: ResponsePhase = HEAD
+        self.headers: list[tuple[bytes, bytes]] = []
+        self.head_bytes = 0
+        self.body = bytearray()
+        self.keep_alive = False
+        self.complete: Response | None = None
 
 
 class ResponseReader:
@@ -84,7 +95,7 @@
         parser, partial = self._parser, self._partial
         if parser is None:
             return None
-        began_in_head = partial.phase is ResponsePhase.HEAD
+        began_in_head = partial.phase is HEAD
         try:
             parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
@@ -99,7 +110,7 @@
     def feed_eof(self) -> Response | None:
         """Return the response that the orderly end of the connection completes, if there is one."""
         partial = self._partial
-        if self._parser is None or partial.phase is not ResponsePhase.BODY_UNTIL_CLOSE:
+        if self._parser is None or partial.phase is not BODY_UNTIL_CLOSE:
             return None
         self._finish(self._parser.get_status_code())
         return partial.complete
@@ -118,16 +129,13 @@
         """Guard against a head that never ends, or interim responses without end."""
         partial = self._partial
         partial.head_bytes += size
-        if partial.phase is ResponsePhase.HEAD and partial.head_bytes > MAX_HEAD_BYTES:
+        if partial.phase is HEAD and partial.head_bytes > MAX_HEAD_BYTES:
             raise HeadTooLargeError(f"the head exceeds {MAX_HEAD_BYTES} bytes")
 
-    def _enter(self, phase: ResponsePhase) -> None:
-        self._partial.phase = RESPONSE_PHASES.check(self._partial.phase, phase)
-
     def _finish(self, status: int) -> None:
         partial = self._partial
         partial.complete = Response(status, partial.headers, bytes(partial.body))
-        self._enter(ResponsePhase.COMPLETE)
+        partial.phase = RESPONSE_PHASES.check(partial.phase, COMPLETE)
 
     # --- the parser's callbacks ---
 
@@ -138,19 +146,16 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Take a header field; the trailers of a chunked body are dropped."""
-        if self._partial.phase is ResponsePhase.HEAD:
+        if self._partial.phase is HEAD:
             self._partial.headers.append((name, value.strip(OPTIONAL_WHITESPACE)))
 
     def on_headers_complete(self) -> None:
         """Decide where the body ends."""
         if self._parser is None or self._parser.get_status_code() < _FIRST_FINAL_STATUS:
             return
-        length = self._content_length()
-        if length is None:
-            self._enter(ResponsePhase.BODY_UNTIL_CLOSE)
-            return
-        self._enter(ResponsePhase.BODY)
-        if length > self._max_body_bytes:
+        partial, length = self._partial, self._content_length()
+        partial.phase = RESPONSE_PHASES.check(partial.phase, BODY_UNTIL_CLOSE if length is None else BODY)
+        if length is not None and length > self._max_body_bytes:
             raise BodyTooLargeError("the body is too long")
 
     def _content_length(self) -> int | None:
--- a/emulator/breakdown.py
+++ b/emulator/breakdown.py
@@ -49,7 +49,7 @@
     Step("module pick", "corkdoor.policy.endpoint_choice", "EndpointChooser", "choose"),
     Step("module refill", "corkdoor.policy.token_buckets", "TokenBuckets", "refill"),
     Step("hand off", *PROXY, "send_attempt"),
-    Step("take connection", "corkdoor.sidecar.upstream.pool", "EndpointPool", "acquire"),
+    Step("take connection", "corkdoor.sidecar.upstream.connection_pool", "ConnectionPool", "acquire"),
     Step("poll for staleness", *UPSTREAM, "is_stale"),
     Step("write to endpoint", *UPSTREAM, "send"),
     Step("read answer", *UPSTREAM, "data_received"),
--- a/emulator/overloaded_discovery/sidecar.py
+++ b/emulator/overloaded_discovery/sidecar.py
@@ -93,7 +93,7 @@
         """Reload with another address of the same discovery."""
         self.watch_discovery(False)
         self._needs_full_list, self.moved_us = True, self.events.now_us
-        self.balancer.on_discovery_moved(self.events.now_us)
+        self.balancer.on_discovery_address_changed(self.events.now_us)
 
     # --- the decision module's actions ---
 
--- a/emulator/simulated_sidecars/process.py
+++ b/emulator/simulated_sidecars/process.py
@@ -144,7 +144,7 @@
             discovery=Address(host, int(port)),
             seed=int(rng.integers(SEED_BOUND)),
             resource_limits=RESOURCE_LIMITS,
-            known=self._lists[sidecar.service],
+            cached_list=self._lists[sidecar.service],
             settings=read_settings(document),
         )
 
--- a/emulator/simulated_sidecars/proxy.py
+++ b/emulator/simulated_sidecars/proxy.py
@@ -58,7 +58,7 @@
 
     # --- actions of the decision module ---
 
-    def send_attempt(self, request_id: str, endpoint_id: str, _max_wait_us: int) -> None:
+    def send_attempt(self, request_id: str, endpoint_id: str) -> None:
         """Let an attempt succeed after a drawn service time."""
         attempt = self._attempts[request_id] = self._attempts.get(request_id, -1) + 1
         service_s = self.observer.draw_service_s()
@@ -74,7 +74,7 @@
         arguments = (request_id, attempt, endpoint_id, spent_us, True, Outcome.OK, None)
         notify(self.balancer.on_attempt_end, *arguments)
 
-    def reject_request(self, request_id: str, _retry_after_us: int) -> None:
+    def reject_request(self, request_id: str, _retry_after_us: int | None) -> None:
         """Count a request that was rejected."""
         self._attempts.pop(request_id, None)
         self.observer.note_outcome(RequestOutcome.REJECTED)
--- a/emulator/slopes/decision_bench.py
+++ b/emulator/slopes/decision_bench.py
@@ -32,14 +32,14 @@
     def __init__(self) -> None:
         self.sent: SentAttempt | None = None
 
-    def send_attempt(self, request_id: str, endpoint_id: str, _max_wait_us: int) -> None:
+    def send_attempt(self, request_id: str, endpoint_id: str) -> None:
         """Remember where an attempt went."""
         self.sent = SentAttempt(request_id, endpoint_id)
 
     def cancel_attempt(self, request_id: str, attempt: int) -> None:
         """Do nothing."""
 
-    def reject_request(self, request_id: str, retry_after_us: int) -> None:
+    def reject_request(self, request_id: str, retry_after_us: int | None) -> None:
         """Do nothing."""
 
     def fail_request(self, request_id: str) -> None:
--- a/tests/test_crowding.py
+++ b/tests/test_crowding.py
@@ -17,7 +17,7 @@
 from corkdoor.sidecar.clients import read_flow, registry, server
 from corkdoor.sidecar.clients.timeouts import ClientTimeouts
 from corkdoor.sidecar.clock import now_us
-from corkdoor.sidecar.upstream import attempt, connection, manager, pool
+from corkdoor.sidecar.upstream import attempt, connection, connection_pool, pool_manager
 from tests.sidecar_support import Asked, Client, Sidecar, run
 
 # A slow machine may check clients before they are in use, and would close them by the test's clock.
@@ -31,7 +31,16 @@
         self.us = now_us()
         for module in (
             *(attempt_sender, balancer_events, endpoint_updates, proxy, request_registry),
-            *(client_connection, read_flow, registry, server, attempt, connection, manager, pool),
+            *(
+                client_connection,
+                read_flow,
+                registry,
+                server,
+                attempt,
+                connection,
+                connection_pool,
+                pool_manager,
+            ),
         ):
             monkeypatch.setattr(module, "now_us", lambda: self.us)
 
@@ -101,7 +110,7 @@
     async def test() -> None:
         async with Sidecar(endpoints=4) as sidecar:
             queue = arrivals(sidecar)
-            cap = sidecar.proxy.balancer.placements[0].local.limit.limit
+            cap = sidecar.proxy.balancer.placements[0].local.limit.max_in_flight
             await fail_until_ejected(sidecar, queue, 2)
             assert cap / 3 < await reached(sidecar, queue, 40) < 2 * cap / 3
 
@@ -121,10 +130,10 @@
                 await serve(queue, clock, clients[:1], 100_000)
             uncrowded = limit.unloaded_median
             for _ in range(150):  # bursts up to the cap: ten at once take the least time, more take longer
-                calls = int(limit.limit)
+                calls = int(limit.max_in_flight)
                 await serve(queue, clock, clients[:calls], 100_000 * max(calls, 10) // 10)
                 assert 0 < limit.unloaded_median < 1.3 * uncrowded
-                assert limit.limit < 20
+                assert limit.max_in_flight < 20
 
     run(test())
 
@@ -139,10 +148,10 @@
             limit = sidecar.proxy.balancer.placements[0].local.limit
             await fail_until_ejected(sidecar, queue, 2, clock)
             clients = [await sidecar.client() for _ in range(40)]
-            cap = limit.limit
+            cap = limit.max_in_flight
             for _ in range(8):  # for less time than they are out
                 await serve(queue, clock, clients[: int(cap / 2)], 100_000)
                 assert limit.available_share == 0.5
-                assert limit.limit <= cap
+                assert limit.max_in_flight <= cap
 
     run(test())
