--- a/corkdoor/sidecar/clients/request_parser.py
+++ b/corkdoor/sidecar/clients/request_parser.py
@@ -10,7 +10,7 @@
 from corkdoor.sidecar.clients.backlog import PARSE_CHUNK_BYTES, IncomingRequest
 from corkdoor.sidecar.clients.body_reservation import BodyReservation
 from corkdoor.sidecar.clients.errors import HTTPError
-from corkdoor.sidecar.clients.states import INPUT_STATES, InputState
+from corkdoor.sidecar.clients.states import INPUT_TRANSITIONS, InputState
 from corkdoor.sidecar.http_fields import OPTIONAL_WHITESPACE
 
 MAX_BODY_BYTES = 64 * 1024
@@ -19,7 +19,9 @@
 HEAD_TOO_LONG = "the headers are too long"
 HTTP_VERSIONS = ("1.0", "1.1")
 IDLE, HEAD, BODY, ENDED, TRUNCATED, CLOSED = InputState  # bound once: members are slow to look up
-RECEIVING = (HEAD, BODY, TRUNCATED)
+IN_HEAD = frozenset((IDLE, HEAD))
+RECEIVING = frozenset((HEAD, BODY, TRUNCATED))
+FINAL = frozenset((ENDED, TRUNCATED, CLOSED))
 
 
 class RequestSink(Protocol):
@@ -77,7 +79,7 @@
     @property
     def has_ended(self) -> bool:
         """Whether nothing more is read."""
-        return self.state >= ENDED
+        return self.state in FINAL
 
     def feed(self, data: memoryview, arrived_us: int) -> None:
         """Parse the next input, which came at `arrived_us`.
@@ -89,7 +91,7 @@
         if parser is None:
             return
         self._arrived_us = arrived_us
-        was_in_head = self.state <= HEAD
+        was_in_head = self.state in IN_HEAD
         upgrade_requested = False
         try:
             parser.feed_data(data)
@@ -106,19 +108,19 @@
         if self.has_ended:
             return
         ending = TRUNCATED if self.is_receiving else ENDED
-        self.state = INPUT_STATES.check(self.state, ending)
+        self.state = INPUT_TRANSITIONS.check(self.state, ending)
         self._body = bytearray()
 
     def close(self) -> None:
         """The connection has ended: let go of the sink, which points back here."""
         self.end()
         if self.state is not CLOSED:
-            self.state = INPUT_STATES.check(self.state, CLOSED)
+            self.state = INPUT_TRANSITIONS.check(self.state, CLOSED)
         self._parser = self._sink = self._error = None
 
     def on_message_begin(self) -> None:
         """A request begins."""
-        self.state = INPUT_STATES.check(self.state, HEAD)
+        self.state = INPUT_TRANSITIONS.check(self.state, HEAD)
         self._head_bytes = self._unfinished_head_bytes = 0
         if self._sink is not None:
             self._sink.on_request_begin()
@@ -140,7 +142,7 @@
 
     def on_headers_complete(self) -> None:
         """The head is complete."""
-        self.state = INPUT_STATES.check(self.state, BODY)
+        self.state = INPUT_TRANSITIONS.check(self.state, BODY)
         if self._parser is not None and self._parser.get_http_version() not in HTTP_VERSIONS:
             self._fail(HTTPStatus.BAD_REQUEST, "HTTP/1.0 or 1.1 only")
         for name, value in self._headers:
@@ -164,7 +166,7 @@
         parser = self._parser
         if parser is None or self._sink is None:
             return
-        self.state = INPUT_STATES.check(self.state, IDLE)
+        self.state = INPUT_TRANSITIONS.check(self.state, IDLE)
         keep_alive = parser.should_keep_alive() and not parser.should_upgrade()
         method, body = parser.get_method(), bytes(self._body)
         request = IncomingRequest(method, self._target, self._headers, body, keep_alive, self._arrived_us)
@@ -173,7 +175,7 @@
 
     def _count_unfinished_head(self, size: int, was_in_head: bool) -> None:
         """Guards against a line without end: httptools reports nothing of it before its end."""
-        in_head = was_in_head and self.state <= HEAD
+        in_head = was_in_head and self.state in IN_HEAD
         self._unfinished_head_bytes = self._unfinished_head_bytes + size if in_head else 0
         if self._unfinished_head_bytes > MAX_HEAD_BYTES + PARSE_CHUNK_BYTES:
             raise HTTPError(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, HEAD_TOO_LONG)
--- a/corkdoor/sidecar/clients/server.py
+++ b/corkdoor/sidecar/clients/server.py
@@ -63,7 +63,7 @@
             await asyncio.sleep(self.timeouts.check_interval_s)
             now = now_us()
             for client in self.clients:
-                client.check_timeouts(now)
+                self.timeouts.check(client, self.admission.longest_deadline_s, now)
 
     # Admission.
 
@@ -89,7 +89,7 @@
         """Whether connections close after their next response."""
         return self.proxy.lifecycle.closing or self.clients.is_over_limit()
 
-    # Graceful shutdown, step by step.
+    # Graceful shutdown.
 
     def stop_accepting(self) -> bool:
         """Stop listening once no connection waits to be accepted, for it would be reset.
@@ -97,9 +97,9 @@
         Returns:
             Whether the server has stopped listening.
         """
-        if not self.listener.has_waiting():
+        if self.listener.is_open and not self.listener.has_waiting():
             self.listener.close()
-        return self.listener.is_closed
+        return not self.listener.is_open
 
     def reject_incomplete_requests(self) -> None:
         """Answer requests of which a part has come: the process ends before the rest."""
--- a/corkdoor/sidecar/clients/states.py
+++ b/corkdoor/sidecar/clients/states.py
@@ -1,12 +1,12 @@
 """The states of a client's connection, and which may follow which.
 
-A connection has three states at a time, since they change independently: of its input, of its output, and of
+It has three states at a time, since they change independently: of its input, of its output, and of
 what is known of the client. Whether reading is paused is a fourth, kept by `read_flow`.
 """
 
 from __future__ import annotations
 
-from enum import IntEnum
+from enum import IntEnum, auto
 
 from corkdoor.state_machine import TransitionTable
 
@@ -14,36 +14,36 @@
 class InputState(IntEnum):
     """Where in the stream of requests the parser is."""
 
-    IDLE = 1  # between requests
-    HEAD = 2
-    BODY = 3  # trailers included
-    ENDED = 4  # nothing more is read; the last request was complete
-    TRUNCATED = 5  # nothing more is read, in the middle of a request
-    CLOSED = 6  # the connection has ended
+    IDLE = auto()  # between requests
+    HEAD = auto()
+    BODY = auto()  # trailers included
+    ENDED = auto()  # nothing more is read; the last request was complete
+    TRUNCATED = auto()  # nothing more is read, in the middle of a request
+    CLOSED = auto()  # the connection has ended
 
 
 class OutputState(IntEnum):
     """Whether the client reads its responses."""
 
-    FLOWING = 1
-    BLOCKED = 2  # too much is buffered: no further request is served
+    FLOWING = auto()
+    BLOCKED = auto()  # too much is buffered: no further request is served
 
 
 class ClientState(IntEnum):
     """What the client has shown of itself; limits on time and eviction depend on it."""
 
-    NEW = 1  # it has made no valid request
-    ESTABLISHED = 2
+    NEW = auto()  # it has made no valid request
+    ESTABLISHED = auto()
 
 
 class ReadState(IntEnum):
     """Whether the connection is read."""
 
-    READING = 1
-    PAUSED = 2
+    READING = auto()
+    PAUSED = auto()
 
 
-INPUT_STATES = TransitionTable(
+INPUT_TRANSITIONS = TransitionTable(
     "client_input",
     {
         InputState.IDLE: frozenset((InputState.HEAD, InputState.ENDED)),
@@ -54,21 +54,21 @@
         InputState.CLOSED: frozenset(),
     },
 )
-OUTPUT_STATES = TransitionTable(
+OUTPUT_TRANSITIONS = TransitionTable(
     "client_output",
     {
         OutputState.FLOWING: frozenset((OutputState.BLOCKED,)),
         OutputState.BLOCKED: frozenset((OutputState.FLOWING,)),
     },
 )
-CLIENT_STATES = TransitionTable(
+CLIENT_TRANSITIONS = TransitionTable(
     "client",
     {
         ClientState.NEW: frozenset((ClientState.ESTABLISHED,)),
         ClientState.ESTABLISHED: frozenset(),
     },
 )
-READ_STATES = TransitionTable(
+READ_TRANSITIONS = TransitionTable(
     "client_read_flow",
     {
         ReadState.READING: frozenset((ReadState.PAUSED,)),
--- a/corkdoor/sidecar/transport/readiness_watch.py
+++ b/corkdoor/sidecar/transport/readiness_watch.py
@@ -6,7 +6,7 @@
 from abc import ABC, abstractmethod
 
 from corkdoor.sidecar.transport.errors import RETRY_S
-from corkdoor.sidecar.transport.states import WATCH_STATES, WatchState
+from corkdoor.sidecar.transport.states import WATCH_TRANSITIONS, WatchState
 
 OFF, WATCHING, RETRYING = WatchState  # bound once: members are slow to look up
 
@@ -73,4 +73,4 @@
         self._on_retry()
 
     def _set_watch_state(self, state: WatchState) -> None:
-        self._watch_state = WATCH_STATES.check(self._watch_state, state)
+        self._watch_state = WATCH_TRANSITIONS.check(self._watch_state, state)
--- a/corkdoor/sidecar/transport/receiver.py
+++ b/corkdoor/sidecar/transport/receiver.py
@@ -10,7 +10,7 @@
 from corkdoor.log_events import LogEvent
 from corkdoor.sidecar.transport.errors import MEMORY_SHORTAGE
 from corkdoor.sidecar.transport.readiness_watch import ReadinessWatch
-from corkdoor.sidecar.transport.states import RECEIVE_STATES, ReceiveState
+from corkdoor.sidecar.transport.states import RECEIVE_TRANSITIONS, ReceiveState
 from corkdoor.sidecar.transport.stream_protocol import StreamProtocol
 
 if TYPE_CHECKING:
@@ -115,4 +115,4 @@
             self._transport.fail(error)
 
     def _set_state(self, state: ReceiveState) -> None:
-        self._state = RECEIVE_STATES.check(self._state, state)
+        self._state = RECEIVE_TRANSITIONS.check(self._state, state)
--- a/corkdoor/sidecar/transport/stream.py
+++ b/corkdoor/sidecar/transport/stream.py
@@ -8,7 +8,7 @@
 from corkdoor.sidecar.transport.receiver import Receiver
 from corkdoor.sidecar.transport.sender import Sender
 from corkdoor.sidecar.transport.socket_poller import INPUT, PEER_CLOSED, SocketPoller
-from corkdoor.sidecar.transport.states import TRANSPORT_STATES, TransportState
+from corkdoor.sidecar.transport.states import TRANSPORT_TRANSITIONS, TransportState
 from corkdoor.sidecar.transport.stream_protocol import StreamProtocol
 
 OPEN, CLOSING, CLOSED = TransportState  # bound once: members are slow to look up
@@ -127,4 +127,4 @@
             protocol.connection_lost(error)
 
     def _set_state(self, state: TransportState) -> None:
-        self._state = TRANSPORT_STATES.check(self._state, state)
+        self._state = TRANSPORT_TRANSITIONS.check(self._state, state)
--- a/emulator/breakdown.py
+++ b/emulator/breakdown.py
@@ -58,7 +58,7 @@
     Step("write to caller", *CLIENT, "answer"),
     Step("alarm set", *ALARM, "_arm"),
     Step("alarm cancelled", *ALARM, "cancel"),
-    Step("chore: check callers", *CLIENT, "check_timeouts"),
+    Step("chore: check callers", "corkdoor.sidecar.clients.timeouts", "ClientTimeouts", "check"),
     Step("chore: report", "corkdoor.sidecar.process", None, "status_line"),
     Step("list taken", *PROXY, "on_watch_event"),
     Step("watch", "corkdoor.sidecar.discovery.client", "DiscoveryClient", "on_response"),
--- a/tests/reload_support.py
+++ b/tests/reload_support.py
@@ -8,10 +8,10 @@
 from corkdoor.settings_reader import read_settings
 from corkdoor.sidecar.config import Config
 from corkdoor.sidecar.resource_limits import ResourceLimits
-from tests.sidecar_support import SETUP, Sidecar
+from tests.sidecar_support import SETTINGS, Sidecar
 
-NEW = {**SETUP["Categories"][0], "Name": "new"}
-LOOK, HOLD, PAY = SETUP["Categories"]
+NEW = {**SETTINGS["Categories"][0], "Name": "new"}
+LOOK, HOLD, PAY = SETTINGS["Categories"]
 
 
 def changed(
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -9,7 +9,9 @@
 
 import pytest
 
-from tests.sidecar_support import Client, Fake, Sidecar, listing, row, run
+from tests.fake_server import FakeServer, endpoint_list, endpoint_row
+from tests.sidecar_client import Client
+from tests.sidecar_support import Sidecar, run
 
 ENDPOINTS = 6
 CLIENTS = 12
@@ -21,24 +23,24 @@
 RULES = {"ColdUs": 6_000_000, "ColdFrom": 0.1, "OverloadFactor": 2.0, "FallUs": 1_000_000}
 
 
-async def serve(fake: Fake, name: str, got: Counter[str]) -> None:
+async def serve(fake: FakeServer, name: str, got: Counter[str]) -> None:
     while True:
-        asked = await fake.next()
+        asked = await fake.next_request()
         got[name] += 1
         asked.reply()
 
 
 async def send_often(client: Client) -> None:
     for _ in range(REQUESTS_EACH):
-        assert (await client.ask("look")).status == 200
+        assert (await client.request("look")).status == 200
 
 
 async def requests_by_endpoint(sidecar: Sidecar, *lists: bytes) -> Counter[str]:
     """Send these lists, one after the other, and count the endpoints of the requests after them."""
     known = sidecar.proxy.balancer.endpoints
     for answer in lists:
-        (await sidecar.discovery.next()).reply(200, answer)
-    await sidecar.discovery.next()  # the next watch: all lists have been applied
+        (await sidecar.discovery.next_request()).reply(200, answer)
+    await sidecar.discovery.next_request()  # the next watch: all lists have been applied
     assert len(known) == ENDPOINTS
     got: Counter[str] = Counter()
     served = [asyncio.create_task(serve(fake, f"s-{i}", got)) for i, fake in enumerate(sidecar.endpoints)]
@@ -49,7 +51,7 @@
 
 
 def rows(sidecar: Sidecar) -> list[dict[str, Any]]:
-    return [row(f"s-{i}", fake.address) for i, fake in enumerate(sidecar.endpoints)]
+    return [endpoint_row(f"s-{i}", fake.address) for i, fake in enumerate(sidecar.endpoints)]
 
 
 @pytest.mark.parametrize("offset_ms", [-HOUR_MS, -HOUR_MS // 600, HOUR_MS])
@@ -65,7 +67,7 @@
             before = [*others, last] if known_before else others
             last_started = {**last, "startedAtMs": time.time_ns() // 1_000_000 + offset_ms}
             got = await requests_by_endpoint(
-                sidecar, listing(2, True, *before), listing(3, False, last_started)
+                sidecar, endpoint_list(2, True, *before), endpoint_list(3, False, last_started)
             )
             assert got.total() == CLIENTS * REQUESTS_EACH
             assert got["s-5"] <= MAX_WHILE_WARMING_UP
@@ -80,7 +82,7 @@
         async with Sidecar(endpoints=ENDPOINTS, Rules={**RULES, "ColdUs": 300_000}) as sidecar:
             *others, last = rows(sidecar)
             ahead = {**last, "startedAtMs": time.time_ns() // 1_000_000 + HOUR_MS}
-            lists = (listing(2, True, *others), listing(3, False, ahead))
+            lists = (endpoint_list(2, True, *others), endpoint_list(3, False, ahead))
             await requests_by_endpoint(sidecar, *lists)
             endpoint = sidecar.proxy.balancer.endpoints["s-5"]
             while (
@@ -100,9 +102,9 @@
             *others, last = rows(sidecar)
             old = {**last, "startedAtMs": time.time_ns() // 1_000_000 - HOUR_MS}
             lists = (
-                listing(2, True, *others, old),
-                listing(3, True, *others),
-                listing(4, False, old),
+                endpoint_list(2, True, *others, old),
+                endpoint_list(3, True, *others),
+                endpoint_list(4, False, old),
             )
             got = await requests_by_endpoint(sidecar, *lists)
             assert got["s-5"] > MAX_WHILE_WARMING_UP
--- a/tests/test_discovery_outages.py
+++ b/tests/test_discovery_outages.py
@@ -18,7 +18,9 @@
 from corkdoor.sidecar.config import Address
 from corkdoor.sidecar.discovery import client as discovery_client
 from corkdoor.sidecar.transport.connector import connect
-from tests.sidecar_support import Sidecar, listing, read_message, row, run
+from tests.fake_server import endpoint_list, endpoint_row
+from tests.http_messages import read_message
+from tests.sidecar_support import Sidecar, run
 
 
 @pytest.mark.parametrize("loss", ["silence", "noise", "no list", "too large"])
@@ -40,12 +42,12 @@
                 "too large": b"HTTP/1.1 200 X\r\nContent-Length: 99999999\r\n\r\n",
             }[loss]
             began = time.monotonic()
-            (await sidecar.discovery.next()).writer.write(lost_answer)
-            (await sidecar.discovery.next()).writer.write(lost_answer)  # and once more
-            drained = listing(2, False, row("s-1", sidecar.endpoints[1].address, "draining"))
-            (await sidecar.discovery.next()).reply(200, drained)
+            (await sidecar.discovery.next_request()).writer.write(lost_answer)
+            (await sidecar.discovery.next_request()).writer.write(lost_answer)  # and once more
+            drained = endpoint_list(2, False, endpoint_row("s-1", sidecar.endpoints[1].address, "draining"))
+            (await sidecar.discovery.next_request()).reply(200, drained)
             assert time.monotonic() - began < MAX_INTERVAL_US / 2e6  # the shortest wait of the backoff
-            await sidecar.discovery.next()
+            await sidecar.discovery.next_request()
             assert list(sidecar.proxy.upstream.pools) == ["s-0"]
 
     run(test())
@@ -72,9 +74,9 @@
         monkeypatch.setattr(discovery_client, "connect", hanging)
         async with Sidecar() as sidecar:
             sidecar.proxy.balancer.discovery.backoff.interval_us = 60_000_000  # as after a long outage
-            await sidecar.discovery.next()  # silent
+            await sidecar.discovery.next_request()  # silent
             began = time.monotonic()
-            (await sidecar.discovery.next()).reply(200, listing(2, False))
+            (await sidecar.discovery.next_request()).reply(200, endpoint_list(2, False))
             assert connects == 3
             assert time.monotonic() - began < 1.0
 
@@ -114,7 +116,7 @@
         writer.close()
 
     def _reply(self, writer: asyncio.StreamWriter) -> None:
-        body = listing(2, True)
+        body = endpoint_list(2, True)
         answer = b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
         if self.ended_s is not None:
             self.answers_s.append(time.monotonic() - self.ended_s)
@@ -141,7 +143,7 @@
         async with Sidecar(Discovery=mode) as sidecar:
             address = Address("127.0.0.1", outage.port)
             if address_changes:
-                await sidecar.discovery.next()
+                await sidecar.discovery.next_request()
                 sidecar.proxy.reload(replace(sidecar.config, discovery=address))
             else:
                 watcher = sidecar.proxy.watcher
--- a/tests/test_emulator_discovery.py
+++ b/tests/test_emulator_discovery.py
@@ -21,13 +21,14 @@
 from emulator.discovery.server import DiscoveryServer, ServerMode
 from emulator.discovery.service_queue import ServiceCost, ServiceQueue
 from emulator.discovery.statistics import PollForm
-from tests.sidecar_support import row, run
+from testbed.discovery_wire import endpoint_row
+from tests.sidecar_support import run
 
 FREE = ServiceCost(poll_us=0, byte_ns=0)
 
 
 def rows(count: int) -> list[dict[str, Any]]:
-    return [row(f"s-{i}", "127.0.0.1:9") for i in range(count)]
+    return [endpoint_row(f"s-{i}", "127.0.0.1:9") for i in range(count)]
 
 
 def response(registry: Registry, after: int | None) -> dict[str, Any]:
@@ -42,8 +43,8 @@
     registry = Registry({"a": rows(2)})
     first = response(registry, None)
     assert (first["generation"], first["reset"], len(first["instances"])) == (1, True, 2)
-    registry.change("a", [row("s-1", "127.0.0.1:9", "draining")])
-    registry.change("a", [row("s-1", "127.0.0.1:9", "gone")])
+    registry.change("a", [endpoint_row("s-1", "127.0.0.1:9", lifecycle="draining")])
+    registry.change("a", [endpoint_row("s-1", "127.0.0.1:9", lifecycle="gone")])
     after = response(registry, 1)
     assert (after["generation"], after["reset"]) == (3, False)
     assert [entry["lifecycle"] for entry in after["instances"]] == ["gone"]  # only its last state
@@ -77,12 +78,20 @@
         )
     )
     def change(self, changed: list[tuple[int, str]]) -> None:
-        self.registry.change("a", [row(f"s-{i}", "127.0.0.1:9", life) for i, life in changed])
+        self.registry.change(
+            "a", [endpoint_row(f"s-{i}", "127.0.0.1:9", lifecycle=lifecycle) for i, lifecycle in changed]
+        )
 
     @rule(many=st.integers(1, 200))
     def churn(self, many: int) -> None:
         for i in range(many):
-            self.registry.change("a", [row(f"s-{i % 4}", "127.0.0.1:9"), row("s-5", "127.0.0.1:9", "gone")])
+            self.registry.change(
+                "a",
+                [
+                    endpoint_row(f"s-{i % 4}", "127.0.0.1:9"),
+                    endpoint_row("s-5", "127.0.0.1:9", lifecycle="gone"),
+                ],
+            )
 
     @rule(watcher=st.integers(0, 1))
     def poll(self, watcher: int) -> None:
@@ -190,8 +199,8 @@
         watch.watcher.start()
         assert await watch.next() == (WatchEventKind.FULL, ["s-0 ready", "s-1 ready"])
         await until(lambda: server.statistics.polls[PollForm.WATCH] == 2)
-        server.change("b", [row("s-9", "127.0.0.1:9")])  # another service's: not ours to hear
-        server.change("a", [row("s-1", "127.0.0.1:9", "draining")])
+        server.change("b", [endpoint_row("s-9", "127.0.0.1:9")])  # another service's: not ours to hear
+        server.change("a", [endpoint_row("s-1", "127.0.0.1:9", lifecycle="draining")])
         assert await watch.next() == (WatchEventKind.DELTA, ["s-1 draining"])
         assert watch.watcher.generation == 2
         watch.watcher.stop()
@@ -211,7 +220,7 @@
         host, _, port = server.address("a").rpartition(":")
         with pytest.raises(ConnectionRefusedError):
             await asyncio.open_connection(host, int(port))
-        server.change("a", [row("s-0", "127.0.0.1:9", "gone")])
+        server.change("a", [endpoint_row("s-0", "127.0.0.1:9", lifecycle="gone")])
         await server.set_mode(ServerMode.SERVING)
         assert await watch.next() == (WatchEventKind.DELTA, ["s-0 gone"])
         watch.watcher.stop()
@@ -245,7 +254,7 @@
         watch.watcher.start()
         await until(lambda: server.statistics.polls[PollForm.WATCH] == 1)
         await server.set_mode(ServerMode.SERVING)
-        server.change("a", [row("s-0", "127.0.0.1:9", "gone")])
+        server.change("a", [endpoint_row("s-0", "127.0.0.1:9", lifecycle="gone")])
         assert watch.lists.empty()  # the poll that came in the silence stays without a response
         watch.watcher.stop()
         await server.stop()
--- a/tests/test_emulator_processes.py
+++ b/tests/test_emulator_processes.py
@@ -28,7 +28,8 @@
 from emulator.errors import SidecarStartError, WorkerError
 from emulator.sidecar import Sidecar, free_port
 from emulator.worker import Worker
-from tests.sidecar_support import Message, read_message, run
+from tests.http_messages import Message, read_message
+from tests.sidecar_support import run
 
 
 @contextlib.asynccontextmanager
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -13,7 +13,9 @@
 
 from corkdoor.sidecar import graceful_shutdown
 from corkdoor.sidecar.graceful_shutdown import ShutdownTimeouts, shut_down
-from tests.sidecar_support import Client, Sidecar, program, run
+from tests.sidecar_client import Client
+from tests.sidecar_process import running_program
+from tests.sidecar_support import Sidecar, run
 
 # Over soon; the last wait is ample for a slow machine, and ends when all clients have left.
 SHORT = ShutdownTimeouts(
@@ -68,7 +70,7 @@
             on_log("event=shutdown_closing clients=0 ", connect)
             drain = asyncio.create_task(shut_down(sidecar.server, sidecar.proxy, SHORT))
             for _ in range(3):
-                (await sidecar.endpoints[0].next()).reply()
+                (await sidecar.endpoints[0].next_request()).reply()
             for sock in callers:
                 client = Client(*await asyncio.open_connection(sock=sock))
                 assert (await client.answer()).status == 200
@@ -82,7 +84,7 @@
         async with Sidecar() as sidecar:
             client = await sidecar.client()
             client.send(deadline_ms=30_000)
-            await sidecar.endpoints[0].next()
+            await sidecar.endpoints[0].next_request()
             client.send(deadline_ms=30_000)
             client.send(deadline_ms=30_000)
             while sum(caller.waiting_requests for caller in sidecar.server.clients) < 2:
@@ -90,7 +92,7 @@
             await shut_down(sidecar.server, sidecar.proxy, SHORT)
             assert [(await client.answer()).status for _ in range(3)] == [504, 503, 503]
             assert await client.reader.read() == b""
-            assert sidecar.endpoints[0].asked.empty()
+            assert sidecar.endpoints[0].requests.empty()
             assert not sidecar.server.clients
 
     run(test())
@@ -110,7 +112,7 @@
             assert (answer.status, answer.headers["connection"]) == (503, "close")
             client.writer.close()
             await drain
-            assert sidecar.endpoints[0].asked.empty()
+            assert sidecar.endpoints[0].requests.empty()
 
     run(test())
 
@@ -124,7 +126,7 @@
         async with Sidecar() as sidecar:
             busy, late = await sidecar.client(), socket.create_connection(("127.0.0.1", sidecar.port))
             busy.send(deadline_ms=30_000)
-            await sidecar.endpoints[0].next()
+            await sidecar.endpoints[0].next_request()
             late.sendall(REQUEST[:-1] % 1)
             while not any(caller.is_receiving for caller in sidecar.server.clients):
                 await asyncio.sleep(0.01)
@@ -133,7 +135,7 @@
             client = Client(*await asyncio.open_connection(sock=late))
             assert (await client.answer()).status == 503
             assert (await busy.answer()).status == 504
-            assert sidecar.endpoints[0].asked.empty()
+            assert sidecar.endpoints[0].requests.empty()
 
     run(test())
 
@@ -142,7 +144,7 @@
     """Guards against SIGHUP after the loop has restored its default, which ends the process."""
 
     async def test() -> None:
-        async with program(tmp_path, {}) as running:
+        async with running_program(tmp_path, {}) as running:
             running.process.send_signal(signal.SIGTERM)
             await running.line_with("event=shutdown_rejecting ")
             while running.process.poll() is None:
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -16,7 +16,8 @@
 from corkdoor.sidecar.upstream.attempt import Attempt
 from corkdoor.sidecar.upstream.connection import Connection
 from corkdoor.sidecar.upstream.connection_pool import ConnectionPool
-from tests.sidecar_support import Fake, Sidecar, row, run
+from tests.fake_server import FakeServer, endpoint_row
+from tests.sidecar_support import Sidecar, run
 
 COUNTED = (Alarm, Attempt, ClientConnection, Connection, ConnectionPool, ProxiedRequest)
 
@@ -34,7 +35,7 @@
         Req_Owner="?" if ending == "rejected" else "acme",
     )
     if ending != "rejected":
-        received = await sidecar.endpoints[0].next()
+        received = await sidecar.endpoints[0].next_request()
         if ending == "answered":
             received.reply(200, b"done", "Connection: close")
         elif ending == "malformed answer":
@@ -83,9 +84,12 @@
         async with Sidecar(endpoints=1) as sidecar:
             address = sidecar.endpoints[0].address
             for i in range(50):
-                rows = [row(f"s-{i + 1}", address)]
+                rows = [endpoint_row(f"s-{i + 1}", address)]
                 if kind is WatchEventKind.DELTA:
-                    rows += [row(f"s-{i}", address, "draining"), row(f"s-{i}", address, "gone")]
+                    rows += [
+                        endpoint_row(f"s-{i}", address, "draining"),
+                        endpoint_row(f"s-{i}", address, "gone"),
+                    ]
                 listing = read_endpoint_list({"generation": i, "reset": False, "instances": rows})
                 sidecar.proxy.on_watch_event(kind, listing.entries)
             assert list(sidecar.proxy.upstream.pools) == ["s-50"]
@@ -99,17 +103,17 @@
 
     async def test() -> None:
         async with Sidecar(endpoints=1) as sidecar:
-            fake: Fake = sidecar.endpoints[0]
+            fake: FakeServer = sidecar.endpoints[0]
             old_client, new_client = await sidecar.client(), await sidecar.client()
             old_client.send()
-            old = await fake.next()
-            rows = [row("s-0", fake.address, "gone"), row("s-1", fake.address)]
+            old = await fake.next_request()
+            rows = [endpoint_row("s-0", fake.address, "gone"), endpoint_row("s-1", fake.address)]
             listing = read_endpoint_list({"generation": 2, "reset": False, "instances": rows})
             sidecar.proxy.on_watch_event(WatchEventKind.DELTA, listing.entries)
             balancer = sidecar.proxy.balancer
             assert set(balancer.endpoints) == {"s-0", "s-1"}  # an attempt is in flight at the first
             new_client.send()
-            new = await fake.next()
+            new = await fake.next_request()
             assert new.connection != old.connection
             old.reply()
             assert (await old_client.answer()).status == 200
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -9,7 +9,7 @@
 
 from corkdoor.sidecar.clients.close_reason import CloseReason
 from corkdoor.sidecar.invariants import Invariant, InvariantLog
-from tests.sidecar_support import Sidecar, first_asked, one_attempt, run
+from tests.sidecar_support import Sidecar, first_request, run, send_first_attempt
 
 
 def test_broken_and_prevented_invariants_are_counted_apart_and_logged(
@@ -32,14 +32,14 @@
 
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
-            _, client = await one_attempt(sidecar, "pay")
+            _, client = await send_first_attempt(sidecar, "pay")
             (request_id,) = sidecar.proxy.requests
             sidecar.proxy.send_attempt(request_id, "s-1")
             sidecar.proxy.send_attempt(request_id, "s-0")
             while sum(a.ended for a in sidecar.proxy.requests[request_id].attempts) < 2:
                 await asyncio.sleep(0.01)
             assert sidecar.proxy.invariants.prevented[Invariant.UNSAFE_RETRY] == 2
-            assert all(fake.asked.empty() for fake in sidecar.endpoints)
+            assert all(fake.requests.empty() for fake in sidecar.endpoints)
             client.writer.close()
 
     run(test())
@@ -48,7 +48,7 @@
 def test_connection_with_an_answer_owed_is_not_closed() -> None:
     async def test() -> None:
         async with Sidecar() as sidecar:
-            asked, client = await one_attempt(sidecar)
+            asked, client = await send_first_attempt(sidecar)
             (request_ider,) = sidecar.server.clients
             request_ider.close(CloseReason.IDLE)
             assert sidecar.proxy.invariants.broken[Invariant.CLOSED_UNANSWERED] == 1
@@ -63,8 +63,8 @@
         async with Sidecar(endpoints=2) as sidecar:
             client = await sidecar.client()
             client.send("pay", request_id="told")
-            (await first_asked(sidecar)).reply(503, b"", "Srv-Declined: 1")
-            (await first_asked(sidecar)).reply(500, b"")
+            (await first_request(sidecar)).reply(503, b"", "Srv-Declined: 1")
+            (await first_request(sidecar)).reply(500, b"")
             assert (await client.answer()).status == 502
 
     with caplog.at_level(logging.INFO):
--- a/tests/test_overloaded_discovery.py
+++ b/tests/test_overloaded_discovery.py
@@ -32,7 +32,8 @@
 from corkdoor.settings import LifecycleRules
 from emulator.overloaded_discovery.scenario import OverloadScenario
 from emulator.overloaded_discovery.simulation import Simulation
-from tests.sidecar_support import Sidecar, listing, row, run
+from tests.fake_server import endpoint_list, endpoint_row
+from tests.sidecar_support import Sidecar, run
 from tests.support import MS, RecordingHost, S, endpoints, settings
 
 WATCH_US = 3_500 * MS  # a watch is answered after so long
@@ -45,13 +46,13 @@
     async def test() -> None:
         async with Sidecar() as sidecar:
             for _ in range(4):
-                (await sidecar.discovery.next()).reply(503, b"")
+                (await sidecar.discovery.next_request()).reply(503, b"")
             began = time.monotonic()
             for _ in range(3):
-                (await sidecar.discovery.next()).reply(503, b"")
-            drains = row("s-0", sidecar.endpoints[0].address, "draining")
-            (await sidecar.discovery.next()).reply(200, listing(2, True, drains))
-            await sidecar.discovery.next()
+                (await sidecar.discovery.next_request()).reply(503, b"")
+            drains = endpoint_row("s-0", sidecar.endpoints[0].address, "draining")
+            (await sidecar.discovery.next_request()).reply(200, endpoint_list(2, True, drains))
+            await sidecar.discovery.next_request()
             assert time.monotonic() - began < NOTIFIED_AFTER_S
 
     run(test(), 30.0)
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -15,15 +15,9 @@
 from corkdoor.sidecar.event_loop_lag import log_event_loop_lag
 from corkdoor.sidecar.log_limits import MAX_LINES_PER_S, LineRateFilter
 from corkdoor.sidecar.status_report import status_line
-from tests.sidecar_support import (
-    SETUP,
-    Sidecar,
-    program,
-    ready,
-    run,
-    started,
-    succeeds,
-)
+from tests.sidecar_client import readiness_status
+from tests.sidecar_process import running_program, start_program
+from tests.sidecar_support import SETTINGS, Sidecar, run, serve_request
 
 
 def test_lag_of_the_loop_is_logged(caplog: pytest.LogCaptureFixture) -> None:
@@ -54,16 +48,16 @@
     ("changes", "reason"),
     [
         ({"settings": {}}, "Categories"),
-        ({"settings": SETUP, "listen": "nowhere"}, "GW_LISTEN"),
-        ({"settings": SETUP, "seed": "xyz"}, "seed"),
-        ({"settings": SETUP, "known": {"instances": 3}}, "known"),
-        ({"settings": SETUP, "limits": {"sockets": 0}}, "limits.sockets"),
+        ({"settings": SETTINGS, "listen": "nowhere"}, "GW_LISTEN"),
+        ({"settings": SETTINGS, "seed": "xyz"}, "seed"),
+        ({"settings": SETTINGS, "known": {"instances": 3}}, "known"),
+        ({"settings": SETTINGS, "limits": {"sockets": 0}}, "limits.sockets"),
     ],
 )
 def test_bad_configuration_ends_the_process_with_one_line(
     tmp_path: Path, changes: dict[str, Any], reason: str
 ) -> None:
-    process = started(tmp_path, changes)
+    process = start_program(tmp_path, changes)
     _, said = process.communicate(timeout=20)
     assert process.returncode == 1
     assert len(said.splitlines()) == 1
@@ -74,7 +68,7 @@
     with socket.create_server(("127.0.0.1", 0)) as taken:
         listen = f"127.0.0.1:{taken.getsockname()[1]}"
         test_bad_configuration_ends_the_process_with_one_line(
-            tmp_path, {"settings": SETUP, "listen": listen}, "address already in use"
+            tmp_path, {"settings": SETTINGS, "listen": listen}, "address already in use"
         )
 
 
@@ -82,18 +76,18 @@
     """Guards against closing all connections at once while a neighbour restarts."""
 
     async def test() -> None:
-        async with program(tmp_path, {}) as running:
+        async with running_program(tmp_path, {}) as running:
             kept, busy = await running.client(), await running.client()
-            assert await ready(kept) == 200
+            assert await readiness_status(kept) == 200
             busy.send(deadline_ms=30_000)
-            asked = await running.endpoint.next()
+            asked = await running.endpoint.next_request()
             running.process.send_signal(signal.SIGTERM)
-            while await ready(kept) == 200:
+            while await readiness_status(kept) == 200:
                 pass
             late = await running.client()
             for client in (kept, late):
                 client.send()
-                (await running.endpoint.next()).reply()
+                (await running.endpoint.next_request()).reply()
                 answer = await client.answer()
                 assert answer.status == 200
                 assert "connection" not in answer.headers
@@ -111,7 +105,7 @@
         async with Sidecar() as sidecar:
             client = await sidecar.client()
             for _ in range(2):
-                await succeeds(client, sidecar.endpoints[0], "pay")
+                await serve_request(client, sidecar.endpoints[0], "pay")
             line = status_line(sidecar.proxy, 1, 500)
             assert line.startswith("event=status clients=1 max_clients=500 settings=")
             counted = "attempts_ok=2 responses_200=2 watch_events_cached=1"
--- a/tests/test_response_framing.py
+++ b/tests/test_response_framing.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.sidecar_support import Sidecar, first_asked, one_attempt, run
+from tests.sidecar_support import Sidecar, first_request, run, send_first_attempt
 
 WITHOUT_LENGTH = b"HTTP/1.1 200 OK\r\nX-Note: n\r\n\r\n"
 
@@ -40,7 +40,7 @@
 def test_response_without_length_ends_with_its_connection(body: bytes, in_parts: bool) -> None:
     async def test() -> None:
         async with Sidecar() as sidecar:
-            asked, client = await one_attempt(sidecar)
+            asked, client = await send_first_attempt(sidecar)
             if in_parts:
                 await write_in_parts(asked.writer, WITHOUT_LENGTH + body)
             else:
@@ -48,7 +48,7 @@
             asked.writer.close()
             answer = await client.answer()
             assert (answer.status, answer.body) == (200, body)
-            asked, client = await one_attempt(sidecar)  # and the next one is framed as it states
+            asked, client = await send_first_attempt(sidecar)  # and the next one is framed as it states
             asked.reply(200, b"next")
             assert (await client.answer()).body == b"next"
 
@@ -60,10 +60,10 @@
 
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
-            asked, client = await one_attempt(sidecar)
+            asked, client = await send_first_attempt(sidecar)
             asked.writer.write(b"HTTP/1.1 503 X\r\nSrv-Declined: 1\r\n\r\nfull")
             asked.writer.close()
-            (await first_asked(sidecar)).reply()
+            (await first_request(sidecar)).reply()
             assert (await client.answer()).status == 200
 
     run(test())
@@ -73,13 +73,13 @@
 def test_reset_does_not_complete_a_response_without_length(sent: bytes) -> None:
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
-            asked, client = await one_attempt(sidecar)
+            asked, client = await send_first_attempt(sidecar)
             asked.writer.write(sent)
             while not any(c.last_data_us is not None for c in sidecar.proxy.upstream.active):
                 await asyncio.sleep(0.01)
             reset(asked.writer)
             assert (await client.answer()).status == 502
-            assert all(fake.asked.empty() for fake in sidecar.endpoints)
+            assert all(fake.requests.empty() for fake in sidecar.endpoints)
 
     run(test())
 
@@ -89,10 +89,10 @@
 
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
-            asked, client = await one_attempt(sidecar)
+            asked, client = await send_first_attempt(sidecar)
             asked.writer.write(WITHOUT_LENGTH + b"all of it")
             assert (await client.answer()).status == 502
-            assert all(fake.asked.empty() for fake in sidecar.endpoints)
+            assert all(fake.requests.empty() for fake in sidecar.endpoints)
 
     run(test())
 
@@ -103,7 +103,7 @@
 
     async def test() -> None:
         async with Sidecar() as sidecar:
-            asked, client = await one_attempt(sidecar)
+            asked, client = await send_first_attempt(sidecar)
             asked.writer.write(CHUNKED % value + CHUNKS)
             answer = await client.answer()
             assert (answer.status, answer.body) == (200, b"all of it")
@@ -118,11 +118,11 @@
 
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
-            asked, client = await one_attempt(sidecar)
+            asked, client = await send_first_attempt(sidecar)
             asked.writer.write(CHUNKED % value + CHUNKS[: len(CHUNKS) - left_out])
             asked.writer.close()
             assert (await client.answer()).status == 502
-            assert all(fake.asked.empty() for fake in sidecar.endpoints)
+            assert all(fake.requests.empty() for fake in sidecar.endpoints)
 
     run(test())
 
@@ -133,7 +133,7 @@
 
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
-            asked, client = await one_attempt(sidecar)
+            asked, client = await send_first_attempt(sidecar)
             asked.writer.write(CHUNKED % value + CHUNKS)
             asked.writer.close()
             assert (await client.answer()).status == 502
--- a/tests/test_response_validity.py
+++ b/tests/test_response_validity.py
@@ -7,11 +7,7 @@
 import pytest
 
 from corkdoor.sidecar.upstream import pool_manager
-from tests.sidecar_support import (
-    Sidecar,
-    one_attempt,
-    run,
-)
+from tests.sidecar_support import Sidecar, run, send_first_attempt
 
 COMPLETE = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood"
 
@@ -53,12 +49,12 @@
     async def test() -> None:
         monkeypatch.setattr(pool_manager, "STALL_US", 100_000)
         async with Sidecar(endpoints=2) as sidecar:
-            asked, client = await one_attempt(sidecar)
+            asked, client = await send_first_attempt(sidecar)
             asked.writer.write(raw)
             answer = await client.answer()
             assert (answer.status, answer.body) == (502, b"")
             assert await asyncio.wait_for(ended(sidecar), 2) == 0
-            assert all(fake.asked.empty() for fake in sidecar.endpoints)
+            assert all(fake.requests.empty() for fake in sidecar.endpoints)
             assert (sidecar.proxy.upstream.open_connections, sidecar.proxy.budget.held_bytes) == (0, 0)
 
     run(test())
@@ -83,11 +79,11 @@
         async with Sidecar() as sidecar:
             client = await sidecar.client()
             client.send()
-            (await sidecar.endpoints[0].next()).writer.write(COMPLETE + more)
+            (await sidecar.endpoints[0].next_request()).writer.write(COMPLETE + more)
             answer = await client.answer()
             assert (answer.status, answer.body) == (200, b"good")
             client.send()
-            asked = await sidecar.endpoints[0].next()
+            asked = await sidecar.endpoints[0].next_request()
             assert asked.connection == 1
             asked.reply()
             assert (await client.answer()).body == b"done"
@@ -101,7 +97,7 @@
             client = await sidecar.client()
             client.send()
             report = "srv-load: pending=3,served_ps=140,svc_ms=14.5"
-            (await sidecar.endpoints[0].next()).reply(200, b"good", report)
+            (await sidecar.endpoints[0].next_request()).reply(200, b"good", report)
             assert (await client.answer()).status == 200
             assert sidecar.proxy.balancer.rules.service_times.newer.total == 1
 
@@ -113,7 +109,7 @@
         async with Sidecar() as sidecar:
             client = await sidecar.client()
             client.send()
-            asked = await sidecar.endpoints[0].next()
+            asked = await sidecar.endpoints[0].next_request()
             asked.writer.write(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n")
             asked.reply(200, b"good", "Srv-Load: =,;inflight=nan")
             answer = await client.answer()
--- a/tests/test_settings_reload.py
+++ b/tests/test_settings_reload.py
@@ -14,15 +14,9 @@
 from corkdoor.sidecar.config import ConfigError, load
 from corkdoor.sidecar.resource_limits import ResourceLimits
 from corkdoor.sidecar.status_report import status_line
+from tests.fake_server import endpoint_list
 from tests.reload_support import HOLD, LOOK, NEW, PAY, changed, reload, without_pay
-from tests.sidecar_support import (
-    SETUP,
-    Sidecar,
-    listing,
-    run,
-    succeeds,
-)
-from tests.test_crowding import arrivals
+from tests.sidecar_support import SETTINGS, Sidecar, run, serve_request
 
 
 def test_requests_that_are_open_over_twenty_reloads_are_answered_once_on_their_connections() -> None:
@@ -30,7 +24,7 @@
 
     async def test() -> None:
         async with Sidecar(endpoints=40) as sidecar:
-            queue = arrivals(sidecar)
+            queue = sidecar.merge_arrivals()
             clients = [await sidecar.client() for _ in range(200)]
             for client in clients:
                 client.send()
@@ -79,10 +73,10 @@
             assert queue.count == 2
             reload(sidecar, **without_pay())
             other = await sidecar.client()
-            assert (await other.ask()).status == 404
+            assert (await other.request()).status == 404
             assert (queue.count, len(sidecar.proxy.requests)) == (2, len(sent))
             for _ in sent:
-                (await sidecar.endpoints[0].next()).reply()
+                (await sidecar.endpoints[0].next_request()).reply()
             assert [(await client.answer()).status for client in sent] == [200] * len(sent)
 
     run(test())
@@ -92,13 +86,13 @@
     async def test() -> None:
         async with Sidecar() as sidecar:
             client = await sidecar.client()
-            assert (await client.ask("new")).status == 404
+            assert (await client.request("new")).status == 404
             client = await sidecar.client()
             client.send("look", Req_Owner="zeta")
             assert (await client.answer()).status == 400
             reload(sidecar, Categories=[LOOK, {**PAY, "Name": "new"}], Parties=[{"Name": "zeta"}])
             client = await sidecar.client()
-            await succeeds(client, sidecar.endpoints[0], "new", Req_Owner="zeta")
+            await serve_request(client, sidecar.endpoints[0], "new", Req_Owner="zeta")
             client.send("look", Req_Owner="acme")
             assert (await client.answer()).status == 400
 
@@ -110,12 +104,12 @@
         async with Sidecar() as sidecar:
             client = await sidecar.client()
             client.send()
-            asked = await sidecar.endpoints[0].next()
+            asked = await sidecar.endpoints[0].next_request()
             reload(sidecar, Categories=[LOOK, HOLD, {**PAY, "Effect": "idempotent"}])
             asked.reset()
             assert (await client.answer()).status == 502  # at most once: it may have run
-            assert sidecar.endpoints[0].asked.empty()
-            assert (await client.ask()).status == 405  # what is safe to repeat is asked for with GET
+            assert sidecar.endpoints[0].requests.empty()
+            assert (await client.request()).status == 405  # what is safe to repeat is asked for with GET
 
     run(test())
 
@@ -127,15 +121,17 @@
 
     async def test() -> None:
         async with Sidecar(Discovery=before) as sidecar:
-            asked = await sidecar.discovery.next()
+            asked = await sidecar.discovery.next_request()
             for i in range(3):
                 reload(sidecar, digest=str(i), Discovery=after, Balancers=i + 1)
-            asked.reply(200, listing(2, False))
-            asked = await sidecar.discovery.next()
+            asked.reply(200, endpoint_list(2, False))
+            asked = await sidecar.discovery.next_request()
             assert asked.message.first.startswith("GET /discovery/hosts?after=2&")
             assert (sidecar.discovery.connections, sidecar.discovery.ends.qsize()) == (1, 0)
             asked.reply(503, b"")
-            await sidecar.discovery.next()  # either form asks again, the module's or the watch's own way
+            await (
+                sidecar.discovery.next_request()
+            )  # either form asks again, the module's or the watch's own way
 
     run(test())
 
@@ -146,11 +142,11 @@
     async def test() -> None:
         async with Sidecar() as sidecar:
             monkeypatch.setattr(sidecar.proxy, "start_timer", lambda *_: None)  # it never falls due
-            (await sidecar.discovery.next()).reply(503, b"")
+            (await sidecar.discovery.next_request()).reply(503, b"")
             while sidecar.proxy.balancer.discovery.state is PollState.CALLING:
                 await asyncio.sleep(0.001)
             reload(sidecar, Discovery="push")
-            await sidecar.discovery.next()
+            await sidecar.discovery.next_request()
 
     run(test())
 
@@ -187,7 +183,7 @@
             assert (sidecar.server.clients.limit, sidecar.proxy.upstream.max_connections) == (500, 400)
             assert sidecar.proxy.watcher.port == before[0].discovery.port
             client = await sidecar.client()
-            await succeeds(client, sidecar.endpoints[0])
+            await serve_request(client, sidecar.endpoints[0])
 
     run(test())
 
@@ -207,8 +203,8 @@
         (tmp_path / "c").write_text(json.dumps(told, indent=len(document)), encoding="utf-8")
         return load({"GW_CONFIG": str(tmp_path / "c")}).digest
 
-    first = digest(SETUP)
+    first = digest(SETTINGS)
     assert len(first) == 8
     assert int(first, 16) >= 0
-    assert digest(dict(reversed(SETUP.items())), name="other", limits={"sockets": 300}) == first
-    assert digest({**SETUP, "Balancers": 2}) != first
+    assert digest(dict(reversed(SETTINGS.items())), name="other", limits={"sockets": 300}) == first
+    assert digest({**SETTINGS, "Balancers": 2}) != first
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -19,15 +19,8 @@
 from corkdoor.sidecar.upstream.attempt import Attempt
 from corkdoor.sidecar.upstream.pool_manager import PoolLimits, PoolManager
 from corkdoor.sidecar.upstream.response import Response
-from tests.sidecar_support import (
-    SETUP,
-    Sidecar,
-    first_asked,
-    listing,
-    one_attempt,
-    row,
-    run,
-)
+from tests.fake_server import endpoint_list, endpoint_row
+from tests.sidecar_support import SETTINGS, Sidecar, first_request, run, send_first_attempt
 
 HERE = Location("a", 0)
 
@@ -43,10 +36,10 @@
 
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
-            asked, client = await one_attempt(sidecar)
+            asked, client = await send_first_attempt(sidecar)
             asked.reply(status, b"")
             assert (await client.answer()).status == 502
-            assert all(fake.asked.empty() for fake in sidecar.endpoints)
+            assert all(fake.requests.empty() for fake in sidecar.endpoints)
 
     run(test())
 
@@ -55,9 +48,9 @@
 def test_attempt_that_an_endpoint_declined_is_retried_at_another(status: int) -> None:
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
-            asked, client = await one_attempt(sidecar)
+            asked, client = await send_first_attempt(sidecar)
             asked.reply(status, b"", "Srv-Declined: 1")
-            (await first_asked(sidecar)).reply()
+            (await first_request(sidecar)).reply()
             assert (await client.answer()).status == 200
 
     run(test())
@@ -71,7 +64,7 @@
             for _ in range(8):  # each draws its endpoint at random
                 client = await sidecar.client()
                 client.send()
-                (await sidecar.endpoints[1].next()).reply()
+                (await sidecar.endpoints[1].next_request()).reply()
                 assert (await client.answer()).status == 200
 
     run(test())
@@ -81,14 +74,14 @@
 def test_truncated_response_fails_and_an_unsafe_request_is_not_retried(cut: str) -> None:
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
-            asked, client = await one_attempt(sidecar)
+            asked, client = await send_first_attempt(sidecar)
             if cut != "nothing":
                 asked.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n")
             if cut == "body":
                 asked.writer.write(b"\r\nhalf")
             asked.writer.close()
             assert (await client.answer()).status == 502
-            assert all(fake.asked.empty() for fake in sidecar.endpoints)
+            assert all(fake.requests.empty() for fake in sidecar.endpoints)
 
     run(test())
 
@@ -103,13 +96,13 @@
             client = await sidecar.client()
             begun = time.monotonic()
             client.send(deadline_ms=2000)
-            asked = await sidecar.endpoints[0].next()
+            asked = await sidecar.endpoints[0].next_request()
             answer = await client.answer()
             assert answer.status == 504
             assert time.monotonic() - begun < 1.5
             asked.reply(200, b"late")
             client.send(deadline_ms=8000)
-            fresh = await sidecar.endpoints[0].next()
+            fresh = await sidecar.endpoints[0].next_request()
             assert fresh.connection != asked.connection
             fresh.reply(200, b"fresh")
             assert (await client.answer()).body == b"fresh"
@@ -197,10 +190,10 @@
 
 def test_idle_connections_close_before_their_endpoint_closes_them() -> None:
     async def test() -> None:
-        async with Sidecar(Allowed={**SETUP["Allowed"], "ConnIdleUs": 300_000}) as sidecar:
+        async with Sidecar(Allowed={**SETTINGS["Allowed"], "ConnIdleUs": 300_000}) as sidecar:
             client = await sidecar.client()
             client.send()
-            (await sidecar.endpoints[0].next()).reply()
+            (await sidecar.endpoints[0].next_request()).reply()
             await client.answer()
             assert await sidecar.endpoints[0].ends.get() == 0
             assert sidecar.proxy.upstream.open_connections == 0
@@ -215,14 +208,16 @@
         async with Sidecar(endpoints=2) as sidecar:
             before, after = sidecar.endpoints
             client = await sidecar.client()
-            sidecar.proxy.on_watch_event(WatchEventKind.FULL, listed(row("s-0", before.address)))
+            sidecar.proxy.on_watch_event(WatchEventKind.FULL, listed(endpoint_row("s-0", before.address)))
             client.send()
-            asked = await before.next()
-            sidecar.proxy.on_watch_event(WatchEventKind.FULL, listed(row("s-0", after.address, started_ms=1)))
+            asked = await before.next_request()
+            sidecar.proxy.on_watch_event(
+                WatchEventKind.FULL, listed(endpoint_row("s-0", after.address, started_ms=1))
+            )
             asked.reply()
             assert (await client.answer()).status == 200
             client.send()
-            asked = await first_asked(sidecar)
+            asked = await first_request(sidecar)
             assert asked.writer in after.writers
             asked.reply()
             assert (await client.answer()).status == 200
@@ -232,7 +227,7 @@
 
 
 def listed(*rows: dict[str, Any]) -> list[ResolvedEndpoint]:
-    return read_endpoint_list(json.loads(listing(2, True, *rows))).entries
+    return read_endpoint_list(json.loads(endpoint_list(2, True, *rows))).entries
 
 
 def test_connections_to_endpoints_stay_within_their_limit() -> None:
@@ -242,7 +237,7 @@
             seen: set[int] = set()
             while len(seen) < 2:
                 client.send()
-                asked = await first_asked(sidecar)
+                asked = await first_request(sidecar)
                 asked.reply()
                 await client.answer()
                 seen.add(next(i for i, f in enumerate(sidecar.endpoints) if asked.writer in f.writers))
