--- a/faults/injector.py
+++ b/faults/injector.py
@@ -112,7 +112,6 @@
         sidecar = self.world.free_sidecar()
         if sidecar is None:
             return
-        sidecar.restarting = True
         rng = self.context.rng
         for number in EXTRA_SIGNALS:
             if rng.random() < EXTRA_SIGNAL_SHARE:
@@ -125,13 +124,11 @@
         """SIGKILL and a start."""
         sidecar = self.world.free_sidecar()
         if sidecar is not None:
-            sidecar.restarting = True
             await self._replace(sidecar, sidecar.kill())
 
     async def _replace(self, sidecar: SidecarProcess, end: Awaitable[None]) -> None:
         await end
         await sidecar.start()
-        sidecar.restarting = False
 
     async def _signal_later(self, sidecar: SidecarProcess, number: int) -> None:
         process = sidecar.process
@@ -179,7 +176,7 @@
         rng = self.context.rng
         sidecar = self.world.free_sidecar()
         for _ in range(rng.randrange(*RELOADS)):
-            if sidecar is not None and not sidecar.restarting:
+            if sidecar is not None and not sidecar.target.is_restarting:
                 sidecar.write_config()
                 sidecar.send_signal(signal.SIGHUP)
             await asyncio.sleep(rng.random() * RELOAD_PAUSE_S)
@@ -189,7 +186,7 @@
         rng = self.context.rng
         sidecar = self.world.free_sidecar()
         for _ in range(rng.randrange(*MOVES)):
-            if sidecar is None or sidecar.restarting:
+            if sidecar is None or sidecar.target.is_restarting:
                 return
             sidecar.move_discovery(rng.randrange(ADDRESSES))
             await asyncio.sleep(rng.uniform(*MOVE_PAUSE_S))
@@ -197,7 +194,7 @@
     async def _corrupt_config(self) -> None:
         """A reload of a configuration that was written in part, or not at all."""
         sidecar = self.world.free_sidecar()
-        if sidecar is None or sidecar.restarting:
+        if sidecar is None or sidecar.target.is_restarting:
             return
         complete = sidecar.config_path.read_bytes()
         sidecar.config_path.write_bytes(complete[: self.context.rng.randrange(len(complete))])
--- a/faults/sidecar_process.py
+++ b/faults/sidecar_process.py
@@ -13,7 +13,7 @@
 from faults.oracle import Promise
 from faults.preload import FaultControl
 from faults.sidecar_log import LogFinding, read_findings
-from faults.targets import SidecarTarget
+from faults.targets import SidecarTarget, TargetState
 from testbed.environment import ROOT, sidecar_environment
 
 READY_S = 10.0  # a process that does not answer `/up` by then has failed
@@ -38,7 +38,6 @@
         folder.mkdir()
         self.control = FaultControl(folder / "control", context.rng.getrandbits(32))
         self.process: asyncio.subprocess.Process | None = None
-        self.restarting = False
         self.starts = 0
         self.discovery_ports: list[int] = []
         self.discovery_index = 0  # which of these ports its configuration names
@@ -91,9 +90,10 @@
         while not await self._is_up():
             if loop.time() - started_s > READY_S:
                 self._violate_alive(f"is not ready in time: {describe_process(self.process)}")
+                self.target.enter(TargetState.FAILED)
                 return
             await asyncio.sleep(READY_CHECK_S)
-        self.target.accepts_clients = True
+        self.target.enter(TargetState.SERVING)
 
     async def _spawn(self) -> asyncio.subprocess.Process:
         environ = sidecar_environment(self.config_path) | self.control.environment(self.context.library)
@@ -125,9 +125,10 @@
         assert self.process is not None
         loop = asyncio.get_running_loop()
         kill_s = loop.time() + self.context.plan.kill_after_s
+        self.target.enter(TargetState.SHUTTING_DOWN)
         self.send_signal(signal.SIGTERM)
         await asyncio.sleep(self.context.rng.uniform(*NEW_CLIENTS_S))
-        self.target.accepts_clients = False
+        self.target.enter(TargetState.DOWN)
         try:
             async with asyncio.timeout_at(kill_s):
                 status = await self.process.wait()
@@ -143,7 +144,7 @@
         """SIGKILL: whatever is open is lost, and that is no fault of its own."""
         assert self.process is not None
         self.target.killed_s.append(asyncio.get_running_loop().time())
-        self.target.accepts_clients = False
+        self.target.enter(TargetState.DOWN)
         with contextlib.suppress(ProcessLookupError):
             self.process.kill()
         await self.process.wait()
--- a/faults/world.py
+++ b/faults/world.py
@@ -9,7 +9,7 @@
 from faults.context import SoakContext
 from faults.endpoints import FaultProxy, FaultyEndpoint
 from faults.sidecar_process import SidecarProcess
-from faults.targets import SidecarTarget
+from faults.targets import SidecarTarget, TargetState
 from testbed.discovery_wire import Row, endpoint_row
 from testbed.ports import free_port
 
@@ -53,7 +53,7 @@
 
     def free_sidecar(self) -> SidecarProcess | None:
         """Return a drawn sidecar that is not being restarted; None where a third or less are left."""
-        free = [s for s in self.sidecars if not s.restarting and s.target.accepts_clients]
+        free = [sidecar for sidecar in self.sidecars if sidecar.target.state is TargetState.SERVING]
         return self.context.rng.choice(free) if 3 * len(free) > len(self.sidecars) else None
 
     async def add_endpoint(self, warming_up: bool = False) -> None:
--- a/tests/test_fault_soak.py
+++ b/tests/test_fault_soak.py
@@ -24,6 +24,7 @@
 from faults.plan import DiscoveryProfile, Fault, Plan, draw_plan, overloaded_plan
 from faults.sidecar_log import LogFinding, read_findings
 from faults.soak import Soak, play
+from faults.targets import IllegalTransitionError, SidecarTarget, TargetState
 from testbed.loopback_server import LoopbackServer
 
 WINDOW_S = 1.5
@@ -193,6 +194,16 @@
     assert set(soak.injector.handlers) == set(Fault)
 
 
+def test_a_process_goes_from_state_to_state_by_the_table() -> None:
+    target = SidecarTarget("n0", 1)
+    for state in (TargetState.SERVING, TargetState.SHUTTING_DOWN, TargetState.DOWN, TargetState.SERVING):
+        target.enter(state)
+    assert target.accepts_clients
+    assert not target.is_restarting
+    with pytest.raises(IllegalTransitionError, match="n0: from serving to failed"):
+        target.enter(TargetState.FAILED)
+
+
 def test_a_server_that_stops_ends_its_connections_and_waits_for_their_handlers() -> None:
     ended: list[bytes] = []
 
