--- a/emulator/breakdown.py
+++ b/emulator/breakdown.py
@@ -1,4 +1,4 @@
-"""The real sidecar with a stopwatch round each step of a call: where its processor time goes.
+"""The real sidecar with a stopwatch around each step of a request: where its processor time goes.
 
 Run in place of `corkdoor.sidecar`; on SIGUSR1 it writes what each step took, without the steps inside it, as
 one line of JSON to the file that `EMULATOR_BREAKDOWN` names. The stopwatch itself adds to each step.
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 import functools
+import importlib
 import json
 import os
 import signal
@@ -15,96 +16,140 @@
 from collections import Counter
 from collections.abc import Callable
 from pathlib import Path
-from typing import Any
-
-from corkdoor import balancer
-from corkdoor.policy.availability import Availability
-from corkdoor.policy.endpoint_choice import EndpointChooser
-from corkdoor.policy.token_buckets import TokenBuckets
-from corkdoor.sidecar import __main__ as program
-from corkdoor.sidecar import clock, process, proxy
-from corkdoor.sidecar.attempt_sender import AttemptSender
-from corkdoor.sidecar.clients.connection import ClientConnection
-from corkdoor.sidecar.clients.server import Server
-from corkdoor.sidecar.clients.timeouts import ClientTimeouts
-from corkdoor.sidecar.discovery.client import DiscoveryClient
-from corkdoor.sidecar.request_registry import RequestRegistry
-from corkdoor.sidecar.upstream.connection import Connection
-from corkdoor.sidecar.upstream.connection_pool import ConnectionPool
-from emulator.sidecar import VARIABLE
-
-# The step's name, its class or module, and its method or function.
-STEPS: tuple[tuple[str, Any, str], ...] = (
-    ("read request", ClientConnection, "data_received"),
-    ("admit", Server, "admit"),
-    ("host take", RequestRegistry, "accept"),
-    ("module order", balancer.Balancer, "on_request"),
-    ("module in-use sum", Availability, "pool_share"),
-    ("module pick", EndpointChooser, "choose"),
-    ("module refill", TokenBuckets, "refill"),
-    ("hand off", proxy.Proxy, "send_attempt"),
-    ("take connection", ConnectionPool, "acquire"),
-    ("poll for staleness", Connection, "is_stale"),
-    ("write to endpoint", Connection, "send"),
-    ("read answer", Connection, "data_received"),
-    ("attempt ended", AttemptSender, "_on_end"),
-    ("module reply", balancer.Balancer, "on_attempt_end"),
-    ("write to caller", ClientConnection, "answer"),
-    ("alarm set", clock.Alarm, "_arm"),
-    ("alarm cancelled", clock.Alarm, "cancel"),
-    ("chore: check callers", ClientTimeouts, "check"),
-    ("chore: report", process, "status_line"),
-    ("list taken", proxy.Proxy, "on_watch_event"),
-    ("watch", DiscoveryClient, "on_response"),
+from typing import Any, NamedTuple
+
+from emulator.errors import EmulatorError
+from emulator.sidecar import BREAKDOWN_VARIABLE
+
+NS_PER_US = 1000
+
+
+class Step(NamedTuple):
+    """A method or a function that is timed; the label is its name in the records."""
+
+    label: str
+    module: str
+    owner: str | None  # the class; None: a function of the module
+    function: str
+
+
+BALANCER = ("corkdoor.balancer", "Balancer")
+PROXY = ("corkdoor.sidecar.proxy", "Proxy")
+CLIENT = ("corkdoor.sidecar.clients.connection", "ClientConnection")
+UPSTREAM = ("corkdoor.sidecar.upstream.connection", "Connection")
+ALARM = ("corkdoor.sidecar.clock", "Alarm")
+
+# What is renamed or moved has to follow here; a test looks each step up.
+STEPS = (
+    Step("read request", *CLIENT, "data_received"),
+    Step("admit", "corkdoor.sidecar.clients.server", "Server", "admit"),
+    Step("host take", "corkdoor.sidecar.request_registry", "RequestRegistry", "accept"),
+    Step("module order", *BALANCER, "on_request"),
+    Step("module in-use sum", "corkdoor.policy.availability", "Availability", "pool_share"),
+    Step("module pick", "corkdoor.policy.endpoint_choice", "EndpointChooser", "choose"),
+    Step("module refill", "corkdoor.policy.token_buckets", "TokenBuckets", "refill"),
+    Step("hand off", *PROXY, "send_attempt"),
+    Step("take connection", "corkdoor.sidecar.upstream.connection_pool", "ConnectionPool", "acquire"),
+    Step("poll for staleness", *UPSTREAM, "is_stale"),
+    Step("write to endpoint", *UPSTREAM, "send"),
+    Step("read answer", *UPSTREAM, "data_received"),
+    Step("attempt ended", "corkdoor.sidecar.attempt_sender", "AttemptSender", "_on_end"),
+    Step("module reply", *BALANCER, "on_attempt_end"),
+    Step("write to caller", *CLIENT, "answer"),
+    Step("alarm set", *ALARM, "_arm"),
+    Step("alarm cancelled", *ALARM, "cancel"),
+    Step("chore: check callers", "corkdoor.sidecar.clients.timeouts", "ClientTimeouts", "check"),
+    Step("chore: report", "corkdoor.sidecar.process", None, "status_line"),
+    Step("list taken", *PROXY, "on_watch_event"),
+    Step("watch", "corkdoor.sidecar.discovery.client", "DiscoveryClient", "on_response"),
 )
 
 
+class MissingStepError(EmulatorError):
+    """A step whose module, class or function does not exist.
+
+    Args:
+        step: that was looked up.
+    """
+
+    def __init__(self, step: Step) -> None:
+        path = ".".join(name for name in step[1:] if name is not None)
+        super().__init__(f"{step.label}: no {path}")
+        self.step = step
+
+
+def find_owner(step: Step) -> Any:
+    """Return the class or module that a step's function is an attribute of.
+
+    Raises:
+        MissingStepError: there is no such module, class or function.
+    """
+    try:
+        module = importlib.import_module(step.module)
+        owner = module if step.owner is None else getattr(module, step.owner)
+        if callable(getattr(owner, step.function)):
+            return owner
+    except (ImportError, AttributeError):
+        pass
+    raise MissingStepError(step)
+
+
 class Stopwatch:
     """Time and count of each step, less what the steps inside it took; single-threaded."""
 
     def __init__(self) -> None:
         self.self_ns: Counter[str] = Counter()
         self.counts: Counter[str] = Counter()
-        self.inside = [0]  # of the steps that are running: what those inside them took
+        self._nested_ns = [0]  # of each step that is running: what the steps inside it took
 
-    def round(self, name: str, method: Callable[..., Any]) -> Callable[..., Any]:
-        """The method with the stopwatch round it."""
+    def wrap(self, label: str, method: Callable[..., Any]) -> Callable[..., Any]:
+        """Return the method with the stopwatch around it."""
 
         @functools.wraps(method)
-        def timed(*args: Any, **values: Any) -> Any:
-            self.inside.append(0)
-            begun = time.perf_counter_ns()
+        def timed(*arguments: Any, **keywords: Any) -> Any:
+            self._nested_ns.append(0)
+            started_ns = time.perf_counter_ns()
             try:
-                return method(*args, **values)
+                return method(*arguments, **keywords)
             finally:
-                took = time.perf_counter_ns() - begun
-                self.self_ns[name] += took - self.inside.pop()
-                self.counts[name] += 1
-                self.inside[-1] += took
+                took_ns = time.perf_counter_ns() - started_ns
+                self.self_ns[label] += took_ns - self._nested_ns.pop()
+                self.counts[label] += 1
+                self._nested_ns[-1] += took_ns
 
         return timed
 
     def install(self) -> None:
-        for name, owner, method in STEPS:
-            setattr(owner, method, self.round(name, getattr(owner, method)))
+        """Put the stopwatch around all steps.
+
+        Raises:
+            MissingStepError: one of them does not exist.
+        """
+        owners = [find_owner(step) for step in STEPS]
+        for step, owner in zip(STEPS, owners, strict=True):
+            setattr(owner, step.function, self.wrap(step.label, getattr(owner, step.function)))
 
     def figures(self) -> dict[str, Any]:
-        """Microseconds and counts by step, and the process's own processor time in microseconds."""
+        """Return microseconds and counts by step, and the process's own processor time in microseconds."""
         return {
-            "cpu_us": time.process_time_ns() / 1000,
-            "self_us": {name: ns / 1000 for name, ns in self.self_ns.items()},
+            "cpu_us": time.process_time_ns() / NS_PER_US,
+            "self_us": {label: ns / NS_PER_US for label, ns in self.self_ns.items()},
             "counts": dict(self.counts),
         }
 
     def write(self, *_: object) -> None:
         """Put the figures in place at once, so that no reader finds half of them."""
-        path = Path(os.environ[VARIABLE])
+        path = Path(os.environ[BREAKDOWN_VARIABLE])
         draft = path.with_suffix(".draft")
         draft.write_text(json.dumps(self.figures()), encoding="utf-8")
         draft.replace(path)
 
 
 def main() -> int:
+    """Run the sidecar with the stopwatch installed, and return its exit status."""
+    # Not at the top: a test looks the steps up without the program's own start.
+    from corkdoor.sidecar import __main__ as program
+
     stopwatch = Stopwatch()
     stopwatch.install()
     signal.signal(signal.SIGUSR1, stopwatch.write)
--- a/tests/sidecar_process.py
+++ b/tests/sidecar_process.py
@@ -6,14 +6,13 @@
 import contextlib
 import json
 import os
-import random
-import socket
 import subprocess
 import sys
 from collections.abc import AsyncIterator
 from pathlib import Path
 from typing import Any
 
+from testbed.ports import free_port
 from tests.fake_server import FakeServer, endpoint_list, endpoint_row
 from tests.sidecar_client import Client
 from tests.sidecar_support import SETTINGS
@@ -60,14 +59,6 @@
             assert line, "the log has ended"
 
 
-def free_port() -> int:
-    """A port that nobody has, below those that outgoing connections get: they would race for it."""
-    while True:
-        port = random.randrange(10_000, 30_000)
-        with contextlib.suppress(OSError), socket.create_server(("127.0.0.1", port)):
-            return port
-
-
 @contextlib.asynccontextmanager
 async def running_program(
     tmp_path: Path, changes: dict[str, Any], **variables: str
--- a/tests/test_failing_system_calls.py
+++ b/tests/test_failing_system_calls.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from faults.preload import SHORT, Call, FaultControl, build
+from faults.preload import SHORT, FaultControl, SystemCall, build
 from tests.fake_server import FakeServer, endpoint_list, endpoint_row
 from tests.sidecar_process import SidecarProcess, running_program
 
@@ -32,7 +32,7 @@
 
 
 async def check_served_despite(
-    running: SidecarProcess, control: FaultControl, call: Call, error: int, skip: int
+    running: SidecarProcess, control: FaultControl, call: SystemCall, error: int, skip: int
 ) -> None:
     """Send requests on a connection that is up already, and on new ones, while that call fails."""
     serving = asyncio.create_task(serve(running))
@@ -84,28 +84,33 @@
     error: int, skip: int, tmp_path: Path, control: FaultControl, environment: dict[str, str]
 ) -> None:
     async with running_program(tmp_path, {}, **environment) as running:
-        await check_served_despite(running, control, Call.ACCEPT, error, skip)
+        await check_served_despite(running, control, SystemCall.ACCEPT, error, skip)
 
 
 MOMENTARY = [
-    (Call.READ, errno.EINTR),
-    (Call.READ, errno.EAGAIN),
-    (Call.READ, errno.ENOMEM),
-    (Call.READ, SHORT),
-    (Call.WRITE, errno.EINTR),
-    (Call.WRITE, errno.EAGAIN),
-    (Call.WRITE, errno.ENOBUFS),
-    (Call.WRITE, errno.ENOMEM),
-    (Call.WRITE, SHORT),
-    (Call.POLL, errno.EINTR),
-    (Call.POLL, errno.ENOMEM),
+    (SystemCall.READ, errno.EINTR),
+    (SystemCall.READ, errno.EAGAIN),
+    (SystemCall.READ, errno.ENOMEM),
+    (SystemCall.READ, SHORT),
+    (SystemCall.WRITE, errno.EINTR),
+    (SystemCall.WRITE, errno.EAGAIN),
+    (SystemCall.WRITE, errno.ENOBUFS),
+    (SystemCall.WRITE, errno.ENOMEM),
+    (SystemCall.WRITE, SHORT),
+    (SystemCall.POLL, errno.EINTR),
+    (SystemCall.POLL, errno.ENOMEM),
 ]
 
 
 @pytest.mark.parametrize("skip", [0, 1, 2, 3])
 @pytest.mark.parametrize(("call", "error"), MOMENTARY, ids=[f"{c.name}-{e}" for c, e in MOMENTARY])
 async def test_transfer_that_fails_for_a_moment_loses_nothing(
-    call: Call, error: int, skip: int, tmp_path: Path, control: FaultControl, environment: dict[str, str]
+    call: SystemCall,
+    error: int,
+    skip: int,
+    tmp_path: Path,
+    control: FaultControl,
+    environment: dict[str, str],
 ) -> None:
     """Whatever it hits: reading the request, forwarding it, reading the response or passing that on."""
     async with running_program(tmp_path, {}, **environment) as running:
@@ -113,9 +118,9 @@
 
 
 CONNECT_ERRORS = [
-    *((Call.SOCKET, error) for error in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)),
+    *((SystemCall.SOCKET, error) for error in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)),
     *(
-        (Call.CONNECT, error)
+        (SystemCall.CONNECT, error)
         for error in (
             errno.EADDRNOTAVAIL,
             errno.EAGAIN,
@@ -131,7 +136,7 @@
 
 @pytest.mark.parametrize(("call", "error"), CONNECT_ERRORS, ids=[f"{c.name}-{e}" for c, e in CONNECT_ERRORS])
 async def test_attempt_whose_connection_fails_at_once_is_retried(
-    call: Call, error: int, tmp_path: Path, control: FaultControl, environment: dict[str, str]
+    call: SystemCall, error: int, tmp_path: Path, control: FaultControl, environment: dict[str, str]
 ) -> None:
     """The request surely never ran, so it goes elsewhere, here to the other entry of the same endpoint."""
     endpoint = await FakeServer().start()
@@ -156,7 +161,7 @@
         serving = asyncio.create_task(serve(running))
         client = await running.client()
         assert (await client.request("look")).status == 200
-        control.fail_next(Call.READ, error)
+        control.fail_next(SystemCall.READ, error)
         client.send("look")
         with contextlib.suppress(ConnectionResetError):
             assert await client.reader.read() == b""
--- a/tests/test_overloaded_discovery.py
+++ b/tests/test_overloaded_discovery.py
@@ -30,7 +30,8 @@
     WatchTimeout,
 )
 from corkdoor.settings import LifecycleRules
-from emulator.crowded_discovery import Fleet, Scenario
+from emulator.overloaded_discovery.scenario import OverloadScenario
+from emulator.overloaded_discovery.simulation import Simulation
 from tests.fake_server import endpoint_list, endpoint_row
 from tests.sidecar_support import Sidecar
 from tests.support import MS, RecordingHost, S, endpoints, settings
@@ -151,21 +152,21 @@
 ) -> None:
     """Guards against instances that are rejected at once for up to 24 s; all calls together take 2 s."""
     for seed in range(1, 4):
-        scenario = Scenario(sidecars, cost_ms * MS, room, length_us=50 * S, seed=seed)
-        figures = Fleet(scenario).play()
-        assert figures.refused > 10
-        assert figures.over == 0, f"seed {seed}: {max(figures.late_us) / S:.1f} s"
+        scenario = OverloadScenario(sidecars, cost_ms * MS, room, length_us=50 * S, seed=seed)
+        result = Simulation(scenario).play()
+        assert result.rejected > 10
+        assert result.late == 0, f"seed {seed}: {max(result.delays_us) / S:.1f} s"
 
 
 @pytest.mark.parametrize(("sidecars", "cost_ms"), [(4, 250), (7, 150)])
 def test_where_three_in_ten_answers_are_lost_few_changes_are_known_late(sidecars: int, cost_ms: int) -> None:
     """Guards against long watches after a lost answer, whose own loss is found only when they are over."""
     plays = [
-        Fleet(Scenario(sidecars, cost_ms * MS, room=1, lost_share=0.3, seed=seed)).play()
+        Simulation(OverloadScenario(sidecars, cost_ms * MS, capacity=1, lost_share=0.3, seed=seed)).play()
         for seed in range(1, 16)
     ]
-    changes = sum(len(figures.late_us) for figures in plays)
-    assert sum(figures.over for figures in plays) <= 0.03 * changes
+    changes = sum(len(result.delays_us) for result in plays)
+    assert sum(result.late for result in plays) <= 0.03 * changes
 
 
 def test_watch_timeouts_grow_and_are_short_after_failures() -> None:
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -15,9 +15,10 @@
 
 import pytest
 
+from testbed.ports import free_port
 from tests.fake_server import FakeServer, endpoint_list, endpoint_row
 from tests.sidecar_client import Client, readiness_status
-from tests.sidecar_process import SidecarProcess, free_port, running_program
+from tests.sidecar_process import SidecarProcess, running_program
 from tests.sidecar_support import SETTINGS, run
 
 ROOT = Path(__file__).parent.parent
