--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,7 +1,8 @@
-"""The modules that decide stay short enough to read, and the deploy file lists all of them."""
+"""Files and functions stay short enough to read, and the deploy file lists all modules that decide."""
 
 from __future__ import annotations
 
+import ast
 import tomllib
 from pathlib import Path
 
@@ -12,6 +13,9 @@
 MAX_LINES = 200  # of one rule; blank lines do not count
 MAX_LINES_OF = {"corkdoor/balancer.py": 350}
 MAX_LINE_LENGTH = 110
+PACKAGES = ("corkdoor", "emulator", "faults", "testbed", "tests")
+MAX_FILE_LINES = 400
+MAX_FUNCTION_LINES = 40
 
 
 @pytest.mark.parametrize("name", POLICY)
@@ -24,3 +28,17 @@
 def test_each_module_that_decides_is_listed() -> None:
     found = {str(path.relative_to(ROOT)) for path in (ROOT / "corkdoor" / "policy").rglob("*.py")}
     assert {name for name in POLICY if "policy/" in name} == found
+
+
+@pytest.mark.parametrize("package", PACKAGES)
+def test_files_and_functions_stay_short(package: str) -> None:
+    too_long = []
+    for path in (ROOT / package).rglob("*.py"):
+        text = path.read_text(encoding="utf-8")
+        if len(text.splitlines()) > MAX_FILE_LINES:
+            too_long.append(path.name)
+        for node in ast.walk(ast.parse(text)):
+            if isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef):
+                if (node.end_lineno or node.lineno) - node.lineno >= MAX_FUNCTION_LINES:
+                    too_long.append(f"{path.name}: {node.name}")
+    assert too_long == []
