--- a/corkdoor/balancer.py
+++ b/corkdoor/balancer.py
@@ -261,7 +261,7 @@
             self._start_sweep_timer(now_us)
 
     def _acquire(self, now_us: int, pool: EndpointPool, endpoint: EndpointState) -> None:
-        """Count an attempt in flight."""
+        """Count an attempt that is sent now as in flight at its endpoint and in its pool."""
         endpoint.last_used_us = now_us
         endpoint.in_flight += 1
         if endpoint.in_flight >= MIN_IN_FLIGHT:  # it may turn out to be unresponsive
@@ -288,7 +288,7 @@
         load: LoadReport | None = None,
     ) -> None:
         """Learn from an attempt, and retry or finish its request."""
-        del endpoint_id  # the request's own record tells it
+        del endpoint_id  # the attempt's own record names its endpoint
         request = self.requests.get(request_id)
         if request is None or attempt not in request.outstanding:
             return
@@ -303,7 +303,7 @@
             self._dispatch(now_us)
 
     def _release(self, now_us: int, attempt: Attempt) -> None:
-        """Count an attempt out that was in flight."""
+        """Count an attempt that has ended out of those in flight at its endpoint and in its pool."""
         endpoint = attempt.endpoint
         endpoint.in_flight -= 1
         self.rules.endpoint_table.forget_unused(endpoint)
--- a/corkdoor/interface.py
+++ b/corkdoor/interface.py
@@ -16,7 +16,7 @@
 
 
 class Actions(Protocol):
-    """What the balancer asks of its host; each action takes effect at once."""
+    """What the balancer has its host do; each action takes effect at once."""
 
     def send_attempt(self, request_id: str, endpoint_id: str) -> None:
         """Send an attempt; it times out when the request is due."""
@@ -44,7 +44,7 @@
 
 
 class Events(Protocol):
-    """What a host tells the balancer, in order of arrival."""
+    """What a host notifies the balancer of, in order of arrival."""
 
     def start(self, now_us: int) -> None:
         """Comes first, once."""
@@ -89,8 +89,8 @@
     ) -> None:
         """An attempt ended, `elapsed_us` after its sending.
 
-        `request_closed` says that the request is finished with it. `load` is the endpoint's load report,
-        where the answer carried one.
+        `request_closed` says that the request is answered or cancelled by now. `load` is the endpoint's load
+        report, where the answer carried one.
         """
 
     def on_request_cancelled(self, now_us: int, request_id: str) -> None:
--- a/corkdoor/model.py
+++ b/corkdoor/model.py
@@ -53,7 +53,7 @@
     FULL = "F"  # the complete endpoint list
     CACHED = "C"  # the list that the configuration file holds
     FAILED = "X"  # a call failed or the watch ended: discovery may be down
-    REJECTED = "rejected"  # discovery answered that it has too many callers
+    REJECTED = "rejected"  # discovery answered that it has too many calls
     LOST = "lost"  # an answer did not arrive in full; the changes it held count as notified
 
 
--- a/corkdoor/policy/concurrency_limit.py
+++ b/corkdoor/policy/concurrency_limit.py
@@ -42,15 +42,15 @@
         max_in_flight: the limit with all endpoints of the pool in use.
         min_limit: it does not fall below this.
         available_share: the share of the pool's capacity that is in use now; the limit counts in proportion.
-        fair_share: endpoints that are this instance's share of the pool.
+        fair_share: how many endpoints are this instance's share of the pool; a number, with fractions.
         in_flight: attempts in flight.
         median: the smoothed median latency, as a share of the objective; 0.0 before the first round.
         unloaded_median: the same while not overloaded; 0.0 before the first round.
         headroom: 1.0 while not overloaded, 0.0 with latencies at their target.
         endpoints_report_load: whether endpoints report their load.
-        peer: the limit of the same placement in the other zones, or here.
+        peer: the limit of the other pool of the same placement: that of the remote one, or of the local one.
         round: the latencies of the round under way.
-        changed_us: when the limit was last reduced.
+        changed_us: when the limit was last reduced, or its latencies were last reset.
     """
 
     def __init__(self, layer: int) -> None:
--- a/corkdoor/policy/discovery/connect_timeout.py
+++ b/corkdoor/policy/discovery/connect_timeout.py
@@ -1,8 +1,8 @@
 """How long a connection to discovery may take to come up.
 
 Inputs: the settings, and whether the last answer was lost. Returns seconds. Where lists are pushed, changes
-count as notified the moment that discovery is back, so a connection that hangs since before makes room in
-good time. The same goes for the changes that a lost answer held.
+count as notified the moment that discovery is back, so a connection attempt that hangs since the outage is
+given up early. The same goes for the changes that a lost answer held.
 """
 
 from __future__ import annotations
--- a/corkdoor/policy/discovery/poll_limits.py
+++ b/corkdoor/policy/discovery/poll_limits.py
@@ -15,7 +15,7 @@
 
 FIRST_INTERVAL_US = 750_000
 MAX_INTERVAL_US = 3_500_000
-MAX_INTERVAL_REJECTED_US = 5_500_000  # a rejection says that more is asked for than can be answered
+MAX_INTERVAL_REJECTED_US = 5_500_000  # a rejection says that discovery gets more calls than it can answer
 POLL_INTERVALS = 3  # a change counts as notified after four, so the next call begins within three
 PUSH_GRACE_SHARE = (3, 8)  # of the drain grace
 
--- a/corkdoor/policy/endpoint_state.py
+++ b/corkdoor/policy/endpoint_state.py
@@ -38,9 +38,9 @@
         shared_order: its place in an order that all instances share and that says nothing of the ids.
         stated_started_us: when its process started, as discovery states it; None: long ago.
         started_us: when its process started, as it counts; None: long ago.
-        in_flight: this instance's attempts that are out there.
+        in_flight: this instance's attempts in flight there.
         last_used_us: when a connection to it was last in use; None: never.
-        waiting_since_us: its newest answer, or the send since which one is awaited.
+        waiting_since_us: its newest answer or, if later, the send that found no attempt in flight there.
         failure_rate: share of failed attempts, smoothed.
         last_failure_us: when an attempt there last failed; None: never.
         consecutive_rejections: attempts that it rejected in a row.
--- a/corkdoor/policy/hedging.py
+++ b/corkdoor/policy/hedging.py
@@ -1,7 +1,7 @@
 """Hedged requests: a second attempt while the first one takes much longer than usual.
 
-It answers an endpoint that pauses under an idempotent request. Only the outermost layer hedges, as hedges of
-several layers would multiply, and only while nothing is short.
+It guards against an endpoint that stalls on an idempotent request. Only the outermost layer hedges, as hedges
+of several layers would multiply, and only without stress, with an empty queue and a retry token left.
 """
 
 from __future__ import annotations
--- a/corkdoor/policy/outcome_feedback.py
+++ b/corkdoor/policy/outcome_feedback.py
@@ -72,7 +72,7 @@
         if has_latency:
             self._peers.record(endpoint, latency_share)
             self._unresponsive.set_usual_latency(limit.median, request.objective_us)
-        # Guards against one slow endpoint for which requests are shed while its peers are idle.
+        # Guards against one slow endpoint for which requests are rejected while its peers are idle.
         if not self._peers.is_outlier(endpoint, latency_share):
             if has_latency:
                 self._ratio.record(now_us, latency_share)
--- a/corkdoor/policy/rejections.py
+++ b/corkdoor/policy/rejections.py
@@ -10,7 +10,7 @@
 from corkdoor.policy.retry_safety import may_reject
 from corkdoor.settings import Settings
 
-MIN_RETRY_AFTER_SHARE = 0.5  # clients are told to wait this share of what they obey, up to twice it
+MIN_RETRY_AFTER_SHARE = 0.5  # Retry-After is drawn from this share of the greatest, up to twice it
 
 
 class RejectionReason(Enum):
--- a/corkdoor/policy/request_queue.py
+++ b/corkdoor/policy/request_queue.py
@@ -48,7 +48,7 @@
         return len(self._by_priority)
 
     def reorder(self, priority_count: int) -> None:
-        """Line up the queued requests by priorities that have changed, in order of arrival."""
+        """Sort the queued requests into priorities that have changed, in order of arrival."""
         queued = [r for queue in self._by_priority for r in queue if r.state is RequestState.QUEUED]
         queued.sort(key=lambda request: request.arrived_us)
         self._by_priority = [deque() for _ in range(priority_count)]
--- a/corkdoor/policy/rules.py
+++ b/corkdoor/policy/rules.py
@@ -35,7 +35,7 @@
 
 
 class Rules:
-    """The rules, each made with those that it asks.
+    """The rules, each made with those that it depends on.
 
     Args:
         settings: the settings in force.
--- a/corkdoor/settings.py
+++ b/corkdoor/settings.py
@@ -82,8 +82,8 @@
     """One tenant.
 
     Attributes:
-        name: the name by which requests tell their tenant.
-        weight: its part of what is split among the tenants; 0 counts as 1.
+        name: the name that requests state.
+        weight: its weight in what is divided among the tenants; 0 counts as 1.
         quota_per_s: requests a second that it is granted at all instances together; 0: none stated.
     """
 
--- a/corkdoor/sidecar/clients/body_reservation.py
+++ b/corkdoor/sidecar/clients/body_reservation.py
@@ -31,7 +31,7 @@
         self._served_bytes = body_bytes
 
     def release_served(self) -> None:
-        """Give back what the request held that has been served."""
+        """Give back the bytes of the request that has been answered."""
         size = min(self._served_bytes, self.held_bytes)
         self._budget.give_back(size)
         self.held_bytes -= size
--- a/corkdoor/sidecar/config.py
+++ b/corkdoor/sidecar/config.py
@@ -71,10 +71,10 @@
         listen: where it accepts clients.
         discovery: where it asks for endpoint lists.
         seed: of the balancer's random draws.
-        resource_limits: of connections, and of bytes held for others.
+        resource_limits: of connections, and of the bytes of requests and responses.
         cached_list: the endpoint list in use until discovery answers.
         settings: the balancer's settings.
-        digest: of the settings as the file states them: tells which ones are in force.
+        digest: of the settings as the file states them: shows which ones are in force.
     """
 
     name: str
--- a/corkdoor/sidecar/discovery/errors.py
+++ b/corkdoor/sidecar/discovery/errors.py
@@ -25,7 +25,7 @@
 
 
 class CallRejectedError(DiscoveryError):
-    """Discovery answered with another status than 200: it has too many callers.
+    """Discovery answered with another status than 200: it has too many calls.
 
     Attributes:
         status: the status of its answer.
--- a/corkdoor/sidecar/endpoint_updates.py
+++ b/corkdoor/sidecar/endpoint_updates.py
@@ -1,4 +1,4 @@
-"""Follows the endpoint lists of discovery: first the pools, then the balancer."""
+"""Follows the endpoint lists of discovery: first the connection pools, then the balancer."""
 
 from __future__ import annotations
 
@@ -47,7 +47,8 @@
     def apply(self, kind: WatchEventKind, entries: Sequence[ResolvedEndpoint]) -> None:
         """Take a watch event.
 
-        The pools come first, so that nothing new leaves for an endpoint that is draining or removed.
+        The connection pools come first, so that nothing new leaves for an endpoint that is draining or
+        removed.
         """
         readiness = Counter(entry.endpoint.readiness.name.lower() for entry in entries)
         log.info(LogEvent("watch_event", kind=kind.name.lower(), **readiness, **self.list_fields()))
--- a/corkdoor/sidecar/invariants.py
+++ b/corkdoor/sidecar/invariants.py
@@ -1,6 +1,6 @@
 """The invariants of sending, closing and starting, and the record of what their guards found.
 
-The balancer decides when it is asked; what it decided on may be over by the time that bytes leave. A guard
+The balancer decides when an event comes; what it decided on may be over by the time that bytes leave. A guard
 checks an invariant at that last moment, and leaves the action out where it does not hold.
 """
 
--- a/corkdoor/sidecar/process.py
+++ b/corkdoor/sidecar/process.py
@@ -21,7 +21,7 @@
 from corkdoor.sidecar.status_report import status_line
 
 STATUS_INTERVAL_S = 2.0
-GC_THRESHOLDS = (20_000, 20, 50)  # rarer than by default: a collection holds up every request
+GC_THRESHOLDS = (20_000, 20, 50)  # rarer than by default: a collection delays every request
 START_TIME_FIELD = 19  # of /proc/PID/stat, counted behind the name of the program
 log = logging.getLogger(__name__)
 
@@ -120,7 +120,7 @@
 
 
 def process_age_s() -> float:
-    """Return how long ago this process was made: interpreter and imports are a part of every start."""
+    """Return how long ago this process was made: it includes the start of the interpreter and the imports."""
     fields = Path("/proc/self/stat").read_text(encoding="utf-8").rpartition(")")[2].split()
     started_s = int(fields[START_TIME_FIELD]) / os.sysconf("SC_CLK_TCK")
     return time.clock_gettime(time.CLOCK_BOOTTIME) - started_s
--- a/corkdoor/sidecar/proxied_request.py
+++ b/corkdoor/sidecar/proxied_request.py
@@ -64,7 +64,7 @@
         request_id: given by the registry, unique within the process.
         answer_by_us: when the answer leaves at the latest.
         state: how far it has come.
-        attempts: all of them, in the order in which they were asked for.
+        attempts: all of them, in the order in which the balancer chose them.
         timeout: goes off at `answer_by_us`.
     """
 
--- a/corkdoor/sidecar/resend_guard.py
+++ b/corkdoor/sidecar/resend_guard.py
@@ -13,7 +13,7 @@
 from corkdoor.policy.retry_safety import NEVER_RAN, FirstRun, may_resend
 from corkdoor.settings import Limits, RequestClass
 
-MAX_SEND_DELAY_US = 150_000  # the process may be held up for so long between reading its clock and writing
+MAX_SEND_DELAY_US = 150_000  # the process may be delayed for so long between reading its clock and writing
 
 
 class Location(NamedTuple):
--- a/corkdoor/sidecar/resource_limits.py
+++ b/corkdoor/sidecar/resource_limits.py
@@ -1,4 +1,4 @@
-"""How the limits of a sidecar's process are divided: descriptors, and bytes held for others."""
+"""How the limits of a sidecar's process are divided: descriptors, and bytes of requests and responses."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 OWN_DESCRIPTORS = 16  # the loop, the log, the listener, discovery and its successor
 CLIENTS_SHARE = 0.55  # of the other descriptors; twice what clients with open requests may hold
-BASE_MB = 24  # the process without what it holds for others, its connections included
+BASE_MB = 24  # the process without requests and responses, its connections included
 HELD_SHARE = 0.4  # of the memory above that, for bodies: the objects around the bytes take as much
 MIN_HELD_BYTES = 1 << 20  # however small the limit: below it nothing could be served
 
 
 class ByteBudget:
-    """Bytes held for others, against a limit on all of them together.
+    """Bytes of requests and responses in memory, against a limit on all of them together.
 
     Args:
         limit_bytes: the limit.
--- a/corkdoor/sidecar/transport/acceptor.py
+++ b/corkdoor/sidecar/transport/acceptor.py
@@ -16,7 +16,7 @@
 from corkdoor.sidecar.transport.stream import StreamTransport
 from corkdoor.sidecar.transport.stream_protocol import StreamProtocol
 
-MAX_ACCEPTS = 64  # connections taken in one turn of the loop, so that open ones are not held up
+MAX_ACCEPTS = 64  # connections taken in one turn of the loop, so that open ones are not delayed
 log = logging.getLogger(__name__)
 
 
--- a/corkdoor/sidecar/upstream/attempt.py
+++ b/corkdoor/sidecar/upstream/attempt.py
@@ -46,7 +46,7 @@
     Attributes:
         state: how far it has come.
         outcome: how it ended; None: it has not.
-        started_us: when it was asked for.
+        started_us: when the balancer chose it, before any connection was taken or opened.
         sent_us: when its bytes were given to the kernel; None: they were not.
         connection: the one that carries it.
     """
--- a/corkdoor/sidecar/upstream/connection.py
+++ b/corkdoor/sidecar/upstream/connection.py
@@ -71,7 +71,7 @@
         return self.state is CLOSED
 
     def is_stale(self) -> bool:
-        """Whether an idle connection has anything to read: its end, or what nobody asked for.
+        """Whether an idle connection has anything to read: its end, or bytes outside of an exchange.
 
         Guards against writing an unsafe request to a connection whose end the loop has not come to yet.
         """
