--- a/corkdoor/policy/endpoint_choice.py
+++ b/corkdoor/policy/endpoint_choice.py
@@ -67,7 +67,9 @@
         share *= request.placement.share_left(endpoint)
         if share < 1.0 and self._random.random() >= share:
             return None
-        if capacity_share < 1.0 and not self._slow_start.has_token(now_us, endpoint, pool, capacity_share):
+        if capacity_share < 1.0 and not self._slow_start.refill_and_check(
+            now_us, endpoint, pool, capacity_share
+        ):
             return None
         if request.first_run is not None and not self._may_resend(now_us, endpoint, request):
             return None
--- a/corkdoor/policy/request_state.py
+++ b/corkdoor/policy/request_state.py
@@ -21,7 +21,7 @@
 
 
 REQUEST_TRANSITIONS = TransitionTable(
-    "request",
+    "balancer_request",
     {
         RequestState.NEW: frozenset((RequestState.QUEUED, RequestState.IN_FLIGHT, RequestState.CLOSED)),
         RequestState.QUEUED: frozenset((RequestState.IN_FLIGHT, RequestState.CLOSED)),
--- a/corkdoor/policy/slow_start.py
+++ b/corkdoor/policy/slow_start.py
@@ -41,7 +41,7 @@
         initial = rules.slow_start_initial_share
         return initial + (1 - initial) * max(age_us, 0) / rules.slow_start_us
 
-    def has_token(
+    def refill_and_check(
         self, now_us: int, endpoint: EndpointState, pool: EndpointPool, capacity_share: float
     ) -> bool:
         """Refill the token budget of a warming endpoint, and return whether it allows another attempt."""
--- a/corkdoor/sidecar/proxied_request.py
+++ b/corkdoor/sidecar/proxied_request.py
@@ -25,7 +25,7 @@
 
 OPEN, ANSWERED, CANCELLED, DONE = RequestState  # bound once: members are slow to look up
 REQUEST_STATES = TransitionTable(
-    "request",
+    "proxied_request",
     {
         OPEN: frozenset((ANSWERED, CANCELLED)),
         ANSWERED: frozenset((DONE,)),
--- a/corkdoor/sidecar/status_report.py
+++ b/corkdoor/sidecar/status_report.py
@@ -22,14 +22,14 @@
         "max_connections": pools.max_connections,
         **proxy.endpoint_updates.list_fields(),
         "longest_list_age_s": freshness.longest_age_us / 1e6,
-        **_drain(proxy.counters),
-        **{f"connections_{name}": count for name, count in _drain(pools.counters).items()},
+        **_take_counts(proxy.counters),
+        **{f"connections_{name}": count for name, count in _take_counts(pools.counters).items()},
         **proxy.invariants.counts(),
     }
     return f"{LogEvent('status', **fields)} {state(proxy.balancer, now_us())}"
 
 
-def _drain(counters: Counter[str]) -> dict[str, int]:
+def _take_counts(counters: Counter[str]) -> dict[str, int]:
     """Return the counters by name, and set them back."""
     counts = {name.replace(" ", "_"): count for name, count in sorted(counters.items())}
     counters.clear()
--- a/corkdoor/sidecar/upstream/connection_state.py
+++ b/corkdoor/sidecar/upstream/connection_state.py
@@ -22,7 +22,7 @@
 IDLE, SENDING, AWAITING_RESPONSE, RECEIVING_EARLY, RECEIVING, CLOSED = ConnectionState
 
 CONNECTION_STATES = TransitionTable(
-    "upstream connection",
+    "upstream_connection",
     {
         IDLE: frozenset((AWAITING_RESPONSE, CLOSED)),
         SENDING: frozenset((AWAITING_RESPONSE, RECEIVING_EARLY, CLOSED)),
